--- a/internal/replica/active_test.go
+++ b/internal/replica/active_test.go
@@ -11,7 +11,7 @@
 	"github.com/briarlink/briarlink/platform"
 )
 
-// manyServers returns a table of so many servers, none of them in use.
+// manyServers returns a table of n servers, none of them in use.
 func manyServers(n int) *Table {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -34,10 +34,10 @@
 	t.Settle()
 }
 
-// TestUnusedServersAreNotLookedAt: an idle host before 10,000 servers spent 6 % of a processor
-// on looking at each of them some forty times a second. It looks at those in use, and at
-// others as long as there is something to tell.
-func TestUnusedServersAreNotLookedAt(t *testing.T) {
+// TestIdleServersAreNotVisited checks that a host only looks at the servers in use, and at
+// others while there is something to report about them. An idle host with 10,000 servers
+// spent 6 % of a processor on looking at each of them some forty times a second.
+func TestIdleServersAreNotVisited(t *testing.T) {
 	for _, n := range []int{400, 1600} {
 		table, now := manyServers(n), time.Unix(1000, 0)
 		flights := []*Flight{table.Begin("i-00001", Work{}, now), table.Begin("i-00002", Work{}, now)}
@@ -45,10 +45,10 @@
 		table.Reached("i-00004", false, now)
 		table.tick(now)
 		if len(table.active) != 4 || !table.Working() || len(table.Unsure(now)) != 1 {
-			t.Errorf("%d of %d servers are looked at, working %v, %d unsure", len(table.active), n, table.Working(), len(table.Unsure(now)))
+			t.Errorf("%d of %d servers are active, working %v, %d unverified", len(table.active), n, table.Working(), len(table.Unsure(now)))
 		}
 		if down, _ := table.Down(now); len(down) != 1 {
-			t.Errorf("%v are down", down)
+			t.Errorf("down servers: %v", down)
 		}
 		for _, f := range flights {
 			f.First(now)
@@ -56,7 +56,7 @@
 		}
 		table.tick(now)
 		if loads := table.Loads(now); len(loads) != 2 {
-			t.Errorf("%d servers have answered lately", len(loads))
+			t.Errorf("%d servers with recent answers", len(loads))
 		}
 		later := now.Add(time.Minute)
 		table.Reached("i-00004", true, later)
@@ -66,12 +66,13 @@
 		later = later.Add(time.Minute)
 		table.tick(later)
 		if len(table.active) != 0 || table.Working() {
-			t.Errorf("%d servers are looked at once all is over", len(table.active))
+			t.Errorf("%d servers are still active after all requests ended", len(table.active))
 		}
 	}
 }
 
-// TestLapsedServersSettle: those that registered again since are kept.
+// TestLapsedServersSettle checks that servers that registered again after an outage are
+// kept.
 func TestLapsedServersSettle(t *testing.T) {
 	table := manyServers(10)
 	for i := range 4 {
--- a/internal/replica/crash.go
+++ b/internal/replica/crash.go
@@ -9,119 +9,122 @@
 )
 
 const (
-	// crashWithin is how long after a connection broke the end of its server is put down
-	// to a crash that broke it: entries of crashed servers are removed within this time.
-	crashWithin = 5 * time.Second
-	// abandonedWithin is the same for an attempt that this host gave up before its answer,
-	// or whose caller left: its server goes on with it for a while.
-	abandonedWithin = 2 * time.Second
-	// maxBroken bounds the broken requests that are remembered of one server: more than
-	// any runs at once.
-	maxBroken = 256
+	// crashWindow is the time after a broken connection within which the end of its server
+	// counts as the crash that broke it. Entries of crashed servers are removed within this
+	// time.
+	crashWindow = 5 * time.Second
+	// abandonedCrashWindow is the same for an attempt that this host gave up before the
+	// complete answer, or whose caller left: the server keeps running it for a while.
+	abandonedCrashWindow = 2 * time.Second
+	// maxBrokenRequests limits the broken requests remembered for each server; it is more
+	// than any server runs at once.
+	maxBrokenRequests = 256
 )
 
-// broken is a request whose exchange with its server ended before the whole answer.
-type broken struct {
+// brokenRequest is a request whose exchange with its server ended before the complete
+// answer.
+type brokenRequest struct {
 	digest quarantine.Digest
-	// until is when a crash of the server is no longer put down to the request.
-	at, until time.Time
+	// expires is the time from which a crash of the server is not attributed to the request.
+	at, expires time.Time
 }
 
-// crash is the end of a server under the requests that it was running.
+// crash is the crash of a server while it was running requests.
 type crash struct {
 	server   quarantine.Server
 	requests []quarantine.Digest
 	at       time.Time
 }
 
-// Broke records that the flight's connection broke before the whole answer. Whether the
-// server crashed is seen when it is looked at; servers break single connections too.
+// Broke records that the connection broke before the complete answer. A probe of the server
+// then shows whether it crashed; servers close single connections too.
 func (f *Flight) Broke(now time.Time) {
 	t, e := f.table, f.entry
 	t.mu.Lock()
-	defer t.unlock()
-	e.noteBroken(f.work.Digest, now, crashWithin)
-	if !e.ended.IsZero() && now.Sub(e.ended) < crashWithin {
-		t.crashed(e, now)
+	defer t.unlockAndNotify()
+	e.recordBroken(f.work.Digest, now, crashWindow)
+	if !e.connectionRefusedAt.IsZero() && now.Sub(e.connectionRefusedAt) < crashWindow {
+		t.attributeCrash(e, now)
 		return
 	}
-	e.look = true
-	t.keep(t.active, e)
+	e.needsProbe = true
+	t.track(t.active, e)
 }
 
-// Abandoned records that this host ended the exchange before the whole answer: the server
-// may have begun to run the request, and crash a little later.
+// Abandoned records that this host ended the exchange before the complete answer. The server
+// may have begun to run the request and may crash a little later.
 func (f *Flight) Abandoned(now time.Time) {
 	f.table.mu.Lock()
 	defer f.table.mu.Unlock()
-	f.entry.noteBroken(f.work.Digest, now, abandonedWithin)
+	f.entry.recordBroken(f.work.Digest, now, abandonedCrashWindow)
 }
 
-// noteBroken remembers a request for a while; where there are too many, the oldest goes.
-func (e *entry) noteBroken(d quarantine.Digest, now time.Time, within time.Duration) {
-	if len(e.broken) >= maxBroken {
-		e.broken = e.broken[1:]
+// recordBroken remembers a request for the given window, in place of the oldest if the limit
+// is reached.
+func (e *entry) recordBroken(d quarantine.Digest, now time.Time, window time.Duration) {
+	if len(e.brokenRequests) >= maxBrokenRequests {
+		e.brokenRequests = e.brokenRequests[1:]
 	}
-	e.broken = append(e.broken, broken{digest: d, at: now, until: now.Add(within)})
+	e.brokenRequests = append(e.brokenRequests, brokenRequest{digest: d, at: now, expires: now.Add(window)})
 }
 
-// crashed puts a server's end down to the requests that broke a moment ago. The end of one
-// that was leaving is no crash.
-func (t *Table) crashed(e *entry, now time.Time) {
+// attributeCrash attributes the end of a server to the requests that broke recently. The end
+// of a draining server is not a crash.
+func (t *Table) attributeCrash(e *entry, now time.Time) {
 	if e.is(StateDraining) {
-		e.broken = nil
+		e.brokenRequests = nil
 		return
 	}
 	c := crash{server: quarantine.ServerOf(e.reg.ID, e.reg.Started), at: now}
-	for _, b := range e.broken {
-		if now.Before(b.until) {
+	for _, b := range e.brokenRequests {
+		if now.Before(b.expires) {
 			c.requests = append(c.requests, b.digest)
 		}
 	}
-	e.broken = nil
+	e.brokenRequests = nil
 	if len(c.requests) == 0 {
 		return
 	}
 	t.log.WithFields(logrus.Fields{"replica": e.reg.ID, "requests": len(c.requests)}).Warn("replica crashed while it was running requests")
-	t.crashes = append(t.crashes, c)
+	t.pendingCrashes = append(t.pendingCrashes, c)
 }
 
-// lives takes an answer to a request that was sent at a moment: connections that broke
-// before it broke alone.
-func (e *entry) lives(sent time.Time) {
-	kept := e.broken[:0]
-	for _, b := range e.broken {
+// clearBroken records an answer to a request that was sent at the given time: connections
+// that broke before then were not broken by a crash.
+func (e *entry) clearBroken(sent time.Time) {
+	kept := e.brokenRequests[:0]
+	for _, b := range e.brokenRequests {
 		if !b.at.Before(sent) {
 			kept = append(kept, b)
 		}
 	}
-	e.broken = kept
-	if e.ended.Before(sent) {
-		e.ended = time.Time{}
+	e.brokenRequests = kept
+	if e.connectionRefusedAt.Before(sent) {
+		e.connectionRefusedAt = time.Time{}
 	}
 }
 
-// unlock releases the lock and then tells of crashes.
-func (t *Table) unlock() {
-	crashes := t.crashes
-	t.crashes = nil
+// unlockAndNotify releases the lock and then reports the pending crashes.
+func (t *Table) unlockAndNotify() {
+	pending := t.pendingCrashes
+	t.pendingCrashes = nil
 	t.mu.Unlock()
-	for _, c := range crashes {
+	for _, c := range pending {
 		t.Crashed(c.server, c.requests, c.at)
 	}
 }
 
-// Broken returns the addresses of servers that are to be looked at, since a connection
-// broke that they had been given a request on.
+// Broken returns the addresses of the servers to probe because a connection that carried a
+// request broke.
 func (t *Table) Broken() map[string]string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	out := map[string]string{}
 	for id, e := range t.active {
-		if e.look {
+		if e.needsProbe {
 			out[id] = e.reg.Address
 		}
-		e.look = false
+		e.needsProbe = false
 	}
 	return out
 }
@@ -129,9 +132,9 @@
 // ConnectionRefused records that nothing listens at a server's address.
 func (t *Table) ConnectionRefused(id, address string, now time.Time) {
 	t.mu.Lock()
-	defer t.unlock()
+	defer t.unlockAndNotify()
 	if e := t.entries[id]; e != nil && e.reg.Address == address {
-		e.ended = now
-		t.crashed(e, now)
+		e.connectionRefusedAt = now
+		t.attributeCrash(e, now)
 	}
 }
--- a/internal/replica/crash_test.go
+++ b/internal/replica/crash_test.go
@@ -8,15 +8,15 @@
 	"github.com/briarlink/briarlink/internal/quarantine"
 )
 
-// crashWorld is a table with one server, a, and what it tells of crashes.
-type crashWorld struct {
+// crashFixture is a table with one server, a, that collects the reported crashes.
+type crashFixture struct {
 	*Table
 	servers  []quarantine.Server
 	requests []quarantine.Digest
 }
 
-func newCrashWorld() *crashWorld {
-	w := &crashWorld{Table: NewTable(quietLog(), func(string, string) {})}
+func newCrashFixture() *crashFixture {
+	w := &crashFixture{Table: NewTable(quietLog(), func(string, string) {})}
 	w.Crashed = func(server quarantine.Server, requests []quarantine.Digest, _ time.Time) {
 		w.servers = append(w.servers, server)
 		w.requests = append(w.requests, requests...)
@@ -25,8 +25,8 @@
 	return w
 }
 
-// breaks sends a request whose connection breaks at a moment.
-func (w *crashWorld) breaks(d quarantine.Digest, at time.Time) {
+// breakRequest sends a request whose connection breaks at the given time.
+func (w *crashFixture) breakRequest(d quarantine.Digest, at time.Time) {
 	f := w.Begin("a", Work{Digest: d, Expected: time.Second}, at.Add(-50*time.Millisecond))
 	f.Broke(at)
 	f.End(Lost, at)
@@ -34,15 +34,15 @@
 
 const crashAddress = "10.0.0.1:1"
 
-// TestCrashIsPutDownToWhatRan: every request that broke with the server, also one whose end
-// shows a little after the server's, counts that one start.
-func TestCrashIsPutDownToWhatRan(t *testing.T) {
-	w, now := newCrashWorld(), time.Now()
+// TestCrashIsAttributedToRunningRequests checks that each request that broke with the server
+// counts that crash, also if its end is seen a little after the server's.
+func TestCrashIsAttributedToRunningRequests(t *testing.T) {
+	w, now := newCrashFixture(), time.Now()
 	late := w.Begin("a", Work{Digest: 3}, now)
-	w.breaks(1, now)
-	w.breaks(2, now)
-	if look := w.Broken(); look["a"] != crashAddress || len(w.Broken()) != 0 {
-		t.Errorf("to be looked at: %v, and then %v", look, w.Broken())
+	w.breakRequest(1, now)
+	w.breakRequest(2, now)
+	if probes := w.Broken(); probes["a"] != crashAddress || len(w.Broken()) != 0 {
+		t.Errorf("servers to probe: %v, and then %v", probes, w.Broken())
 	}
 	w.ConnectionRefused("a", crashAddress, now.Add(20*time.Millisecond))
 	late.Broke(now.Add(30 * time.Millisecond))
@@ -58,64 +58,65 @@
 	}
 }
 
-// TestAbandonedRequestsMayCrashTheirServer: a host gives a silent server up, or a caller
-// leaves, and the server begins to run the request and crashes just then.
+// TestAbandonedRequestsMayCrashTheirServer checks the window in which a crash is attributed
+// to an abandoned request: its host gave up an unresponsive server or its caller left, but
+// the server runs the request and crashes shortly after.
 func TestAbandonedRequestsMayCrashTheirServer(t *testing.T) {
-	for after, want := range map[time.Duration]int{abandonedWithin - time.Millisecond: 1, abandonedWithin: 0} {
-		w, now := newCrashWorld(), time.Now()
+	for after, want := range map[time.Duration]int{abandonedCrashWindow - time.Millisecond: 1, abandonedCrashWindow: 0} {
+		w, now := newCrashFixture(), time.Now()
 		f := w.Begin("a", Work{Digest: 1}, now)
 		f.Abandoned(now)
 		f.End(Cancelled, now)
 		w.ConnectionRefused("a", crashAddress, now.Add(after))
 		if len(w.requests) != want {
-			t.Errorf("crash %v after the end of the exchange: %d requests are blamed, want %d", after, len(w.requests), want)
+			t.Errorf("crash %v after the end of the exchange is attributed to %d requests, want %d", after, len(w.requests), want)
 		}
 	}
 }
 
-// TestEntryTellsOfACrash where nothing else does: it is removed, or names a newer start
-// under the same ID.
-func TestEntryTellsOfACrash(t *testing.T) {
-	for name, gone := range map[string]func(*crashWorld){
-		"removed":       func(w *crashWorld) { w.Remove("a", true) },
-		"started again": func(w *crashWorld) { w.Register(startOf(2000, 1), 1) },
-		"misdirected":   func(w *crashWorld) { w.RemoveAt("a", crashAddress) },
+// TestEntryChangeRevealsCrash checks that a crash is noticed from the server's entry alone,
+// which is removed or shows a newer incarnation of the same ID.
+func TestEntryChangeRevealsCrash(t *testing.T) {
+	for name, removeOrRestart := range map[string]func(*crashFixture){
+		"removed":       func(w *crashFixture) { w.Remove("a", true) },
+		"started again": func(w *crashFixture) { w.Register(startOf(2000, 1), 1) },
+		"misdirected":   func(w *crashFixture) { w.RemoveAt("a", crashAddress) },
 	} {
-		w := newCrashWorld()
-		w.breaks(1, time.Now())
-		gone(w)
+		w := newCrashFixture()
+		w.breakRequest(1, time.Now())
+		removeOrRestart(w)
 		if !slices.Equal(w.requests, []quarantine.Digest{1}) || w.servers[0] != quarantine.ServerOf("a", 1000) {
 			t.Errorf("%s: servers %v, requests %v", name, w.servers, w.requests)
 		}
 	}
 }
 
-// TestBrokenConnectionAloneIsNoCrash: the server answers later requests, leaves as it said,
-// or ends long after.
+// TestBrokenConnectionAloneIsNoCrash checks that a broken connection is not taken for a
+// crash if the server answers later requests, leaves as announced, or ends long after.
 func TestBrokenConnectionAloneIsNoCrash(t *testing.T) {
 	now := time.Now()
-	for name, later := range map[string]func(*crashWorld){
-		"answers": func(w *crashWorld) {
+	for name, later := range map[string]func(*crashFixture){
+		"answers": func(w *crashFixture) {
 			f := w.Begin("a", Work{Digest: 9}, now.Add(time.Millisecond))
 			f.First(now.Add(2 * time.Millisecond))
 			f.End(Answered, now.Add(3*time.Millisecond))
 			w.ConnectionRefused("a", crashAddress, now.Add(time.Second))
 		},
-		"leaves": func(w *crashWorld) {
+		"leaves": func(w *crashFixture) {
 			draining := startOf(1000, 1)
 			draining.Draining = true
 			w.Register(draining, 1)
 			w.Remove("a", true)
 		},
-		"ends later":    func(w *crashWorld) { w.ConnectionRefused("a", crashAddress, now.Add(crashWithin)) },
-		"has moved":     func(w *crashWorld) { w.ConnectionRefused("a", "10.0.0.9:1", now) },
-		"is not looked": func(w *crashWorld) { w.Broken() },
+		"ends later":    func(w *crashFixture) { w.ConnectionRefused("a", crashAddress, now.Add(crashWindow)) },
+		"has moved":     func(w *crashFixture) { w.ConnectionRefused("a", "10.0.0.9:1", now) },
+		"is not looked": func(w *crashFixture) { w.Broken() },
 	} {
-		w := newCrashWorld()
-		w.breaks(1, now)
+		w := newCrashFixture()
+		w.breakRequest(1, now)
 		later(w)
 		if len(w.requests) != 0 {
-			t.Errorf("%s: %v are blamed", name, w.requests)
+			t.Errorf("%s: the crash is attributed to %v", name, w.requests)
 		}
 	}
 }
--- a/internal/replica/failures.go
+++ b/internal/replica/failures.go
@@ -7,84 +7,85 @@
 )
 
 const (
-	// failureWindow is half of the time over which answers count: a fault that lasts
-	// some seconds is known in its first, and forgotten a few after its end.
+	// failureWindow is half of the time over which answers count: a fault that lasts a few
+	// seconds shows within its first second and stops counting a few seconds after its end.
 	failureWindow = 2 * time.Second
-	// priorAnswers is the number of good answers that every server is thought to
-	// have given: one loss of few requests says little.
+	// priorAnswers is the number of successful answers credited to every server, so that one
+	// failure among few requests has little weight.
 	priorAnswers = 6
 )
 
-// failures counts how a host's exchanges with a server ended, lately.
+// failures counts how a host's recent exchanges with a server ended.
 type failures struct {
-	// began is the start of the window that present counts; past is the one before.
-	began         time.Time
-	present, past outcomes
+	// windowStart is the start of the current window; previous counts the window before it.
+	windowStart       time.Time
+	current, previous outcomes
 }
 
-// outcomes counts exchanges that ended, and those of them that failed.
+// outcomes counts ended exchanges and how many of them failed.
 type outcomes struct{ ended, failed int32 }
 
-func (f *failures) note(failed bool, now time.Time) {
-	f.roll(now)
-	f.present.ended++
+func (f *failures) record(failed bool, now time.Time) {
+	f.rotate(now)
+	f.current.ended++
 	if failed {
-		f.present.failed++
+		f.current.failed++
 	}
 }
 
-// roll begins a new window where the present one is over.
-func (f *failures) roll(now time.Time) {
-	age := now.Sub(f.began)
+// rotate begins a new window if the current one is over.
+func (f *failures) rotate(now time.Time) {
+	age := now.Sub(f.windowStart)
 	if age < failureWindow {
 		return
 	}
-	f.past = f.present
+	f.previous = f.current
 	if age >= 2*failureWindow {
-		f.past = outcomes{}
+		f.previous = outcomes{}
 	}
-	f.present = outcomes{}
-	f.began = now
+	f.current = outcomes{}
+	f.windowStart = now
 }
 
-// lately returns the counts of the last two to four seconds.
-func (f *failures) lately(now time.Time) outcomes {
-	f.roll(now)
-	return outcomes{f.present.ended + f.past.ended, f.present.failed + f.past.failed}
+// recent returns the counts of the last two to four seconds.
+func (f *failures) recent(now time.Time) outcomes {
+	f.rotate(now)
+	return outcomes{f.current.ended + f.previous.ended, f.current.failed + f.previous.failed}
 }
 
-// share returns the part of exchanges that failed.
+// share returns the share of exchanges that failed, with priorAnswers added to the
+// successes.
 func (o outcomes) share() float64 {
 	return float64(o.failed) / float64(o.ended+priorAnswers)
 }
 
-// overdue is how long, beyond what was expected of it, an answer must be missing to
-// be thought lost when a later request of the server is answered: requests overtake
-// each other by urgency and size, mostly by less than half a second.
-const overdue = 700 * time.Millisecond
+// overdueThreshold is how far an answer must exceed its expected time to be presumed lost
+// when a later request to the same server is answered. Requests overtake each other by
+// urgency and size, mostly by less than half a second.
+const overdueThreshold = 700 * time.Millisecond
 
-// overtake notes that a later request of the server was answered while others
-// wait: those that were overtaken long after they were due have lost their answer.
-// Their callers would only leave in the end, which says nothing of the server.
-func (t *Table) overtake(answered *Flight, now time.Time) {
+// detectLostAnswers presumes the answers lost that are long overdue when a later request to
+// the same server is answered. Otherwise such a request would only end when its caller
+// leaves, which says nothing about the server.
+func (t *Table) detectLostAnswers(answered *Flight, now time.Time) {
 	if t.Off[mechanism.LostAnswers] {
 		return
 	}
 	e := answered.entry
 	for f := range e.flights {
-		if f.answered || f.lost || !f.began.Before(answered.began) || now.Sub(f.began) < f.work.Expected+overdue {
+		if f.answerStarted || f.presumedLost || !f.start.Before(answered.start) || now.Sub(f.start) < f.work.Expected+overdueThreshold {
 			continue
 		}
-		f.lost = true
-		e.failures.note(true, now)
-		t.log.WithField("replica", e.reg.ID).WithField("waited_ms", now.Sub(f.began).Milliseconds()).Info("answer thought lost: later requests were answered")
+		f.presumedLost = true
+		e.failures.record(true, now)
+		t.log.WithField("replica", e.reg.ID).WithField("waited_ms", now.Sub(f.start).Milliseconds()).Info("answer thought lost: later requests were answered")
 	}
 }
 
-// Lost reports whether the flight's answer is thought lost although its server
-// answers others.
+// Lost reports whether the answer is presumed lost although the server answers other
+// requests.
 func (f *Flight) Lost() bool {
 	f.table.mu.Lock()
 	defer f.table.mu.Unlock()
-	return f.lost
+	return f.presumedLost
 }
--- a/internal/replica/failures_test.go
+++ b/internal/replica/failures_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// silentlyLosing plays a second of a replica that loses every third answer without
-// a sign while it gives the others, as one host sees it: seldom two at once.
-func silentlyLosing(table *Table, id string, start time.Time) time.Time {
+// loseEveryThirdAnswer simulates a server that silently loses every third answer and sends
+// the others, as seen by one host that rarely has two requests there at once.
+func loseEveryThirdAnswer(table *Table, id string, start time.Time) time.Time {
 	now := start
 	for i := range 12 {
 		f := table.Begin(id, Work{Expected: 200 * time.Millisecond}, now)
@@ -20,11 +20,11 @@
 	return now
 }
 
-// TestSilentLossesAreNoticed: the callers of lost answers only leave in the end,
-// which alone says nothing of the server.
-func TestSilentLossesAreNoticed(t *testing.T) {
+// TestLostAnswersCountAsFailures checks that silently lost answers are detected. Their
+// requests only end when the callers leave, which alone says nothing about the server.
+func TestLostAnswersCountAsFailures(t *testing.T) {
 	table := newTestTable("a", "b")
-	now := silentlyLosing(table, "a", time.Now())
+	now := loseEveryThirdAnswer(table, "a", time.Now())
 	for _, r := range table.Snapshot(testService, testModel, 1000, now) {
 		if bad := r.Errors > 0.1; bad != (r.ID == "a") {
 			t.Errorf("%s: share of failures %.2f", r.ID, r.Errors)
@@ -32,8 +32,8 @@
 	}
 }
 
-// TestSlowAnswersAreNotLost: later requests that were answered first say nothing
-// while a request is not long overdue.
+// TestSlowAnswersAreNotLost checks that an answer is not presumed lost because later
+// requests were answered first, unless it is long overdue.
 func TestSlowAnswersAreNotLost(t *testing.T) {
 	table := newTestTable("a")
 	now := time.Now()
@@ -45,31 +45,32 @@
 		quick.End(Answered, now)
 	}
 	if slow.Lost() {
-		t.Error("thought lost half a second after it was due")
+		t.Error("presumed lost half a second after it was due")
 	}
 }
 
-// TestFailuresOfAllHostsCount, so that a fault of a few seconds is known in its
-// first: one host has few answers of each server.
+// TestFailuresOfAllHostsCount checks that failures seen by other hosts count, so that a
+// fault of a few seconds shows within its first second: a single host gets few answers from
+// each server.
 func TestFailuresOfAllHostsCount(t *testing.T) {
 	now := time.Now()
-	here, there := newTestTable("a", "b"), newTestTable("a", "b")
-	var told Told
+	local, remote := newTestTable("a", "b"), newTestTable("a", "b")
+	var reporter Told
 	for range 3 {
-		there.Begin("a", Work{}, now).End(Lost, now)
-		there.Begin("b", Work{}, now).End(Answered, now)
+		remote.Begin("a", Work{}, now).End(Lost, now)
+		remote.Begin("b", Work{}, now).End(Answered, now)
 	}
-	here.SetLoads("there", told.Changes(there.Loads(now), true), now)
+	local.SetLoads("there", reporter.Changes(remote.Loads(now), true), now)
 	share := func(at time.Time) (a, b float64) {
-		s := here.Snapshot(testService, testModel, 1000, at)
+		s := local.Snapshot(testService, testModel, 1000, at)
 		return s[0].Errors, s[1].Errors
 	}
 	if a, b := share(now); a < 0.3 || b != 0 {
 		t.Errorf("shares %.2f and %.2f", a, b)
 	}
-	// Old failures are forgotten: a server that is avoided cannot show better.
+	// Old failures must expire: a server that is avoided cannot show that it has recovered.
 	now = now.Add(2 * failureWindow)
-	here.SetLoads("there", told.Changes(there.Loads(now), true), now)
+	local.SetLoads("there", reporter.Changes(remote.Loads(now), true), now)
 	if a, _ := share(now); a != 0 {
 		t.Errorf("share %.2f after %v", a, 2*failureWindow)
 	}
--- a/internal/replica/flight.go
+++ b/internal/replica/flight.go
@@ -6,40 +6,43 @@
 	"github.com/briarlink/briarlink/internal/quarantine"
 )
 
-// Work is what a request means for a server.
+// Work describes the load that a request puts on a server.
 type Work struct {
-	// Prefill tokens are to be read, Memory tokens are needed to the end.
+	// Prefill is the number of tokens to prefill, Memory the number of tokens that stay in
+	// memory until the request ends.
 	Prefill int
 	Memory  int
-	// Expected is the time to the first event, of which Reading is spent on the
-	// request's own tokens.
+	// Expected is the time to the first event; Reading is the part of it that is spent on
+	// the prefill of the request itself.
 	Expected time.Duration
 	Reading  time.Duration
-	// Own is what the policy expects of the request's own work at a server of pace 1, and
-	// Pace the one that was reckoned with. Engine is whether the server is an engine.
+	// Own is the expected service time of the request alone at a server of slowdown 1, and
+	// Pace the slowdown that Expected was computed with. Engine is set if the server is an
+	// engine.
 	Own    time.Duration
 	Pace   float64
 	Engine bool
-	// Digest names the request.
+	// Digest identifies the request.
 	Digest quarantine.Digest
 }
 
-// Flight is a request at a server. It is safe for concurrent use.
+// Flight is a request in flight at a server. It is safe for concurrent use.
 type Flight struct {
-	table    *Table
-	entry    *entry
-	began    time.Time
-	work     Work
-	answered bool
-	over     bool
-	// ratio is the time to the answer's beginning as a multiple of what was expected, or 0.
+	table         *Table
+	entry         *entry
+	start         time.Time
+	work          Work
+	answerStarted bool
+	ended         bool
+	// ratio is the measured time to the start of the answer divided by the expected one, or
+	// 0.
 	ratio float64
-	// lost is set once a later request was answered while this one was long overdue.
-	lost bool
+	// presumedLost is set once a later request was answered while this one was long overdue.
+	presumedLost bool
 }
 
-// Begin records a request that is about to be sent. It returns nil when the
-// server may no longer be given requests.
+// Begin records a request that is about to be sent. It returns nil if the server may no
+// longer be given requests.
 func (t *Table) Begin(id string, work Work, now time.Time) *Flight {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -48,113 +51,111 @@
 		return nil
 	}
 	if _, trial := e.health.state(now); trial {
-		e.health.trying = true
+		e.health.trialRunning = true
 	}
-	f := &Flight{table: t, entry: e, began: now, work: work}
+	f := &Flight{table: t, entry: e, start: now, work: work}
 	if e.flights == nil {
 		e.flights = map[*Flight]bool{}
 	}
 	e.flights[f] = true
-	t.keep(t.active, e)
+	t.track(t.active, e)
 	return f
 }
 
-// First records the head of the answer, or a stream's first event: the prompt
-// has been read.
+// First records the head of the answer or the first event of a stream: the prefill is done.
 func (f *Flight) First(now time.Time) {
 	f.table.mu.Lock()
 	defer f.table.mu.Unlock()
-	if f.answered {
+	if f.answerStarted {
 		return
 	}
-	f.answered = true
-	f.ratio = float64(now.Sub(f.began)) / float64(max(f.work.Expected, leastTimed))
-	f.entry.lives(f.began)
-	f.table.judge(f.entry, "an answer began", now, func(h *health) { h.alive() })
-	if f.entry.paced(f, now.Sub(f.began)) {
-		f.table.keep(f.table.paced, f.entry)
+	f.answerStarted = true
+	f.ratio = float64(now.Sub(f.start)) / float64(max(f.work.Expected, minTimedExpectation))
+	f.entry.clearBroken(f.start)
+	f.table.updateHealth(f.entry, "an answer began", now, func(h *health) { h.markUp() })
+	if f.entry.recordSlowdown(f, now.Sub(f.start)) {
+		f.table.track(f.table.withSlowdown, f.entry)
 	}
-	f.entry.health.took(now.Sub(f.began), f.work.Expected, now)
-	f.entry.heard(now)
-	f.table.overtake(f, now)
+	f.entry.health.observe(now.Sub(f.start), f.work.Expected, now)
+	f.entry.markSeen(now)
+	f.table.detectLostAnswers(f, now)
 }
 
-// Ratio returns the time to the answer's beginning as a multiple of what was expected, or 0
-// before it.
+// Ratio returns the measured time to the start of the answer divided by the expected one, or
+// 0 before the answer starts.
 func (f *Flight) Ratio() float64 {
 	f.table.mu.Lock()
 	defer f.table.mu.Unlock()
 	return f.ratio
 }
 
-// leastLeft of a prompt counts as unread until the first event: it may be later
-// than expected.
-const leastLeft = 0.1
+// minPendingShare is the share of a prompt that counts as pending prefill until the first
+// event, which may come later than expected.
+const minPendingShare = 0.1
 
-// prefill returns the tokens that are thought to be unread: they are read after
-// those that came before, at the expected speed.
-func (f *Flight) prefill(now time.Time) float64 {
-	if f.answered {
+// pendingPrefill estimates the tokens still to be prefilled: the prefill starts after the
+// requests ahead of it and proceeds at the expected speed.
+func (f *Flight) pendingPrefill(now time.Time) float64 {
+	if f.answerStarted {
 		return 0
 	}
 	total := float64(f.work.Prefill)
-	start := f.began.Add(f.work.Expected - f.work.Reading)
-	if f.work.Reading <= 0 || now.Before(start) {
+	prefillStart := f.start.Add(f.work.Expected - f.work.Reading)
+	if f.work.Reading <= 0 || now.Before(prefillStart) {
 		return total
 	}
-	done := float64(now.Sub(start)) / float64(f.work.Reading)
-	return total * max(leastLeft, 1-done)
+	done := float64(now.Sub(prefillStart)) / float64(f.work.Reading)
+	return total * max(minPendingShare, 1-done)
 }
 
 // End records the end of the exchange; only the first call counts.
 func (f *Flight) End(r Result, now time.Time) {
 	f.table.mu.Lock()
-	defer f.table.unlock()
-	if f.over {
+	defer f.table.unlockAndNotify()
+	if f.ended {
 		return
 	}
-	f.over = true
-	hung := !f.answered && f.entry.silence(now) > hangAfter && (r == Cancelled || r == Lost)
+	f.ended = true
+	unresponsive := !f.answerStarted && f.entry.unresponsiveFor(now) > unresponsiveThreshold && (r == Cancelled || r == Lost)
 	delete(f.entry.flights, f)
 	switch {
 	case r == Answered:
-		f.entry.failures.note(false, now)
-	case !f.lost && (r == Failed || r == Lost || r == Unreachable || r == ConnectTimeout):
-		f.entry.failures.note(true, now)
+		f.entry.failures.record(false, now)
+	case !f.presumedLost && (r == Failed || r == Lost || r == Unreachable || r == ConnectTimeout):
+		f.entry.failures.record(true, now)
 	}
-	f.table.judge(f.entry, r.String(), now, func(h *health) {
-		h.ended(r, f.began, now)
-		if hung {
-			h.fail(now)
+	f.table.updateHealth(f.entry, r.String(), now, func(h *health) {
+		h.recordResult(r, f.start, now)
+		if unresponsive {
+			h.markDown(now)
 		}
 	})
 	if r == Answered || r == Failed || r == Refused {
-		f.entry.heard(now)
+		f.entry.markSeen(now)
 	}
 }
 
-// Silence returns how long the flight's server has owed an answer without any
-// sign of life.
+// Silence returns how long the server has owed an answer without any liveness signal.
 func (f *Flight) Silence(now time.Time) time.Duration {
 	f.table.mu.Lock()
 	defer f.table.mu.Unlock()
-	return f.entry.silence(now)
+	return f.entry.unresponsiveFor(now)
 }
 
-// heard records a sign of life: the silence of every flight starts again.
-func (e *entry) heard(now time.Time) { e.lastHeard = now }
+// markSeen records a liveness signal, which restarts the silence of every request.
+func (e *entry) markSeen(now time.Time) { e.lastSeen = now }
 
-// silence is how long the oldest unanswered flight has waited beyond what was
-// expected of it.
-func (e *entry) silence(now time.Time) time.Duration {
+// unresponsiveFor returns how long the oldest unanswered request has waited beyond its
+// expected time, counted from the last liveness signal if that is later.
+func (e *entry) unresponsiveFor(now time.Time) time.Duration {
 	longest := time.Duration(0)
 	for f := range e.flights {
-		if f.answered {
+		if f.answerStarted {
 			continue
 		}
-		due := f.began.Add(f.work.Expected)
-		if e.lastHeard.After(due) {
-			due = e.lastHeard
+		due := f.start.Add(f.work.Expected)
+		if e.lastSeen.After(due) {
+			due = e.lastSeen
 		}
 		longest = max(longest, now.Sub(due))
 	}
--- a/internal/replica/health.go
+++ b/internal/replica/health.go
@@ -16,19 +16,19 @@
 
 // Results of an exchange.
 const (
-	// Answered is a whole answer of the server.
+	// Answered is a complete answer of the server.
 	Answered Result = iota
-	// Failed is an answer that reports a failure of the server's own.
+	// Failed is an answer that reports a failure of the server itself.
 	Failed
-	// Refused is a true "not run" of a server that is full.
+	// Refused is an answer by which a full server reports that it did not run the request.
 	Refused
-	// Lost is a connection that broke, or an answer that made no sense.
+	// Lost is a broken connection or an invalid answer.
 	Lost
-	// Unreachable is a server to which nothing could be sent.
+	// Unreachable means that nothing could be sent to the server.
 	Unreachable
-	// ConnectTimeout is an attempt to connect that got no answer in time.
+	// ConnectTimeout is a connection attempt that timed out.
 	ConnectTimeout
-	// Cancelled is an exchange that the caller or the deadline ended.
+	// Cancelled is an exchange that was ended by the caller or by the deadline.
 	Cancelled
 )
 
@@ -38,163 +38,169 @@
 }
 
 const (
-	// slowWeight is the weight of one answer in the slowness, and slowMemory the
-	// time constant with which it is forgotten.
+	// slowWeight is the weight of one answer in the moving average of excess times,
+	// slowDecay the time constant with which that average decays.
 	slowWeight = 0.15
-	slowMemory = 2 * time.Second
-	// leastTimed is the shortest expectation against which an answer is timed.
-	leastTimed = 150 * time.Millisecond
-	// downFirst and downMost bound how long an unreachable server gets no
-	// requests. The first pause is a little longer than a crash takes to show in
-	// other servers' load; the longest lets a restarted one be found.
-	downFirst = 300 * time.Millisecond
-	downMost  = 3 * time.Second
-	// hangAfter is the silence, beyond what was expected of the oldest request,
-	// from which a server is thought to hang and gets no more requests.
-	hangAfter = 600 * time.Millisecond
-	// suspectHold is how long another host's word lasts that a server is down; it
-	// is renewed with each of its heartbeats.
-	suspectHold = 400 * time.Millisecond
-	// heardLately is how recent a sign of life must be to outweigh that word.
-	heardLately = 300 * time.Millisecond
-	// tellAfterReached is how long others are told of a server that was down once a
-	// connection to it could be opened. It may still hang; but where many servers serve,
-	// the one request that would clear it here may not come for long, and all others
-	// would leave it idle at one host's word.
-	tellAfterReached = time.Second
-	// maxSlow bounds what one answer can say of a server's speed.
+	slowDecay  = 2 * time.Second
+	// minTimedExpectation is the lower limit of the expected time that answers are compared
+	// with.
+	minTimedExpectation = 150 * time.Millisecond
+	// minDownTime and maxDownTime limit how long an unreachable server gets no requests. The
+	// minimum is a little longer than a crash takes to show in the load of other servers;
+	// the maximum lets a restarted server be found again.
+	minDownTime = 300 * time.Millisecond
+	maxDownTime = 3 * time.Second
+	// unresponsiveThreshold is the silence, beyond the expected time of the oldest request,
+	// from which a server counts as unresponsive and gets no more requests.
+	unresponsiveThreshold = 600 * time.Millisecond
+	// suspicionTimeout is how long another host's report that a server is down counts; it is
+	// renewed with each heartbeat of that host.
+	suspicionTimeout = 400 * time.Millisecond
+	// recentlySeenThreshold is the maximum age of a liveness signal that outweighs such a
+	// report.
+	recentlySeenThreshold = 300 * time.Millisecond
+	// reportAfterReached is how long a server that was down is still reported to other hosts
+	// once a connection to it could be opened. The server may still be unresponsive. But
+	// among many servers, the one request that would clear it here may not come for a long
+	// time, and meanwhile all other hosts would leave it idle because of one host's report.
+	reportAfterReached = time.Second
+	// maxSlow limits how slow a single answer can make a server look.
 	maxSlow = 12.0
 )
 
-// health is what a server's answers say of it. Checks of the server's own are
-// dear and may lie, so that none are made.
+// health is the state of a server as inferred from its answers. The server's own health
+// checks are not used: they are expensive and may be wrong.
 type health struct {
-	// excess is how much longer than expected answers took, as of timed.
-	excess float64
-	timed  time.Time
-	// pause is above 0 while the server is thought down, until downUntil at least.
-	pause     time.Duration
+	// excess is the average ratio by which answers exceeded their expected time, as of
+	// excessAt.
+	excess   float64
+	excessAt time.Time
+	// downTime is above 0 while the server is marked down, which lasts at least until
+	// downUntil.
+	downTime  time.Duration
 	downUntil time.Time
 	// unreachable is set while connections to the server fail.
 	unreachable bool
-	// timedOut is when an attempt to connect to a server that nothing else spoke against
-	// got no answer in time, or zero.
-	timedOut time.Time
-	// reached is since when a connection can be opened again, or zero: one request may
-	// then try the server.
-	reached time.Time
-	// trying is true while that request is on its way.
-	trying bool
-	// suspected is until when other hosts' word counts that it is down.
-	suspected time.Time
+	// connectTimeoutAt is the time of a first connect timeout to a server that was not
+	// marked down, or zero.
+	connectTimeoutAt time.Time
+	// reachableSince is the time since which connections can be opened again, or zero. A
+	// single trial request may then be sent to the server.
+	reachableSince time.Time
+	// trialRunning is set while the trial request is in flight.
+	trialRunning bool
+	// suspectedUntil is when the last report of another host that the server is down expires.
+	suspectedUntil time.Time
 }
 
-// state returns whether the server is down, or due for a trial.
+// state returns whether the server is down, and whether a trial request may be sent to it.
 func (h *health) state(now time.Time) (down, trial bool) {
-	if h.pause == 0 {
+	if h.downTime == 0 {
 		return h.onlySuspected(now), false
 	}
-	if now.Before(h.downUntil) || h.trying || h.reached.IsZero() {
+	if now.Before(h.downUntil) || h.trialRunning || h.reachableSince.IsZero() {
 		return true, false
 	}
 	return false, true
 }
 
-// onlySuspected reports whether nothing but another host's word speaks against the
-// server.
-func (h *health) onlySuspected(now time.Time) bool { return h.pause == 0 && now.Before(h.suspected) }
+// onlySuspected reports whether only another host's report speaks against the server.
+func (h *health) onlySuspected(now time.Time) bool {
+	return h.downTime == 0 && now.Before(h.suspectedUntil)
+}
 
-// tells reports whether other hosts are told that the server is down.
-func (h *health) tells(now time.Time) bool {
-	return h.pause > 0 && (h.reached.IsZero() || now.Sub(h.reached) < tellAfterReached)
+// shouldReport reports whether other hosts are notified that the server is down.
+func (h *health) shouldReport(now time.Time) bool {
+	return h.downTime > 0 && (h.reachableSince.IsZero() || now.Sub(h.reachableSince) < reportAfterReached)
 }
 
-// fail marks the server as down for a pause that doubles each time.
-func (h *health) fail(now time.Time) {
-	h.pause = min(max(2*h.pause, downFirst), downMost)
-	h.downUntil = now.Add(h.pause)
-	h.reached = time.Time{}
+// markDown marks the server down for minDownTime. Each further call doubles the time, up to
+// maxDownTime.
+func (h *health) markDown(now time.Time) {
+	h.downTime = min(max(2*h.downTime, minDownTime), maxDownTime)
+	h.downUntil = now.Add(h.downTime)
+	h.reachableSince = time.Time{}
 }
 
-// slow returns how many times as long as expected answers take. It falls back to
-// 1 while no answer tells otherwise: a server that is avoided for its slowness
-// could not show that it has recovered.
+// slow returns by which factor answers take longer than expected. Without new answers it
+// decays to 1: a server that is avoided because it was slow could not show that it has
+// recovered.
 func (h *health) slow(now time.Time) float64 {
 	if h.excess == 0 {
 		return 1
 	}
-	return 1 + h.excess*math.Exp(-float64(now.Sub(h.timed))/float64(slowMemory))
+	return 1 + h.excess*math.Exp(-float64(now.Sub(h.excessAt))/float64(slowDecay))
 }
 
-// took records the time an answer took against what was expected. Short waits
-// say little of a server's speed: they are mostly spent behind requests of which
-// this host did not know.
-func (h *health) took(actual, expected time.Duration, now time.Time) {
-	ratio := float64(actual) / float64(max(expected, leastTimed))
-	over := min(maxSlow, max(1, ratio)) - 1
-	h.excess = (h.slow(now) - 1) + slowWeight*(over-(h.slow(now)-1))
-	h.timed = now
+// observe records the measured and the expected time of an answer. Short times say little
+// about a server's speed, as they are mostly spent queued behind requests that this host had
+// no record of.
+func (h *health) observe(actual, expected time.Duration, now time.Time) {
+	ratio := float64(actual) / float64(max(expected, minTimedExpectation))
+	answerExcess := min(maxSlow, max(1, ratio)) - 1
+	h.excess = (h.slow(now) - 1) + slowWeight*(answerExcess-(h.slow(now)-1))
+	h.excessAt = now
 }
 
-// connectTimeout takes an attempt to connect that got no answer in time. One may be this
-// host's own slowness, or a lost packet: the server is avoided, but remains the last
-// resort, as refusing would cost all callers of a service with a single server theirs.
-// Attempts that were under way by then say the same once more. A second one after it,
-// or one to a server that is thought down already, is taken for certain, so that a dark
-// server costs its callers two timeouts at most.
+// connectTimeout records a connection attempt that timed out. A single timeout may be due to
+// this host being slow or to a lost packet. The server is then avoided but remains usable as
+// a last resort, since otherwise all requests to a service with a single server would be
+// refused. Attempts that were already running at that time are not counted again. A timeout
+// of a later attempt, or one to a server that is already marked down, makes the server
+// unreachable, so that a server that never answers costs its callers at most two timeouts.
 func (h *health) connectTimeout(began, now time.Time) {
-	if began.Before(h.timedOut) {
+	if began.Before(h.connectTimeoutAt) {
 		return
 	}
-	if h.pause == 0 {
-		h.timedOut = now
+	if h.downTime == 0 {
+		h.connectTimeoutAt = now
 	} else {
 		h.unreachable = true
 	}
-	h.fail(now)
+	h.markDown(now)
 }
 
-// ended takes the end of an exchange that began at a moment.
-func (h *health) ended(r Result, began, now time.Time) {
-	h.trying = false
+// recordResult records how an exchange that began at the given time ended.
+func (h *health) recordResult(r Result, began, now time.Time) {
+	h.trialRunning = false
 	switch r {
 	case Answered:
-		h.alive()
+		h.markUp()
 	case Refused:
-		h.alive()
+		h.markUp()
 	case Failed:
-		h.alive()
+		h.markUp()
 	case Unreachable:
 		h.unreachable = true
-		h.fail(now)
+		h.markDown(now)
 	case ConnectTimeout:
 		h.connectTimeout(began, now)
 	case Lost, Cancelled:
 	}
 }
 
-// alive ends what was thought of a server that has answered.
-func (h *health) alive() {
-	h.pause = 0
+// markUp resets the state of a server that has answered.
+func (h *health) markUp() {
+	h.downTime = 0
 	h.unreachable = false
-	h.timedOut = time.Time{}
-	h.suspected = time.Time{}
+	h.connectTimeoutAt = time.Time{}
+	h.suspectedUntil = time.Time{}
 }
 
 func weightsText(model string, version int64) string { return fmt.Sprintf("%s=%d", model, version) }
 
-// Down returns the servers that other hosts are to know as down, by what this host
-// itself has seen, and the addresses of those that are due for another try to connect.
+// Down returns the servers to report as down to other hosts, by what this host itself has
+// observed, and the addresses of those that are due for another connection attempt.
 func (t *Table) Down(now time.Time) (ids []string, due map[string]string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	due = map[string]string{}
 	for id, e := range t.active {
-		t.noteHang(e, now)
-		if e.hanging || e.health.tells(now) {
+		t.updateLiveness(e, now)
+		if e.unresponsive || e.health.shouldReport(now) {
 			ids = append(ids, id)
 		}
-		if e.health.pause > 0 && e.health.reached.IsZero() && !now.Before(e.health.downUntil) {
+		if e.health.downTime > 0 && e.health.reachableSince.IsZero() && !now.Before(e.health.downUntil) {
 			due[id] = e.reg.Address
 		}
 	}
@@ -210,50 +216,50 @@
 	switch {
 	case e == nil:
 	case ok:
-		if e.health.reached.IsZero() {
-			e.health.reached = now
+		if e.health.reachableSince.IsZero() {
+			e.health.reachableSince = now
 		}
 		e.health.unreachable = false
 	default:
-		t.judge(e, "no connection", now, func(h *health) {
+		t.updateHealth(e, "no connection", now, func(h *health) {
 			h.unreachable = true
-			h.fail(now)
+			h.markDown(now)
 		})
 	}
 }
 
-// judge changes what is thought of a server, and logs when it is thought down, or
-// no longer is.
-func (t *Table) judge(e *entry, reason string, now time.Time, change func(*health)) {
-	before := e.health.pause > 0
+// updateHealth applies a change to a server's health, and logs when the server is marked
+// down or up again.
+func (t *Table) updateHealth(e *entry, reason string, now time.Time, change func(*health)) {
+	wasDown := e.health.downTime > 0
 	change(&e.health)
-	if e.health.pause > 0 {
-		t.keep(t.active, e)
+	if e.health.downTime > 0 {
+		t.track(t.active, e)
 	}
-	down := e.health.pause > 0
-	if down == before {
+	down := e.health.downTime > 0
+	if down == wasDown {
 		return
 	}
-	line := t.log.WithFields(logrus.Fields{"replica": e.reg.ID, "reason": reason, "failures": fmt.Sprintf("%.2f", t.failed(e, now).share())})
+	logEntry := t.log.WithFields(logrus.Fields{"replica": e.reg.ID, "reason": reason, "failures": fmt.Sprintf("%.2f", t.recentOutcomes(e, now).share())})
 	if down {
-		line.Warn("replica thought down")
+		logEntry.Warn("replica thought down")
 	} else {
-		line.Info("replica serves again")
+		logEntry.Info("replica serves again")
 	}
 }
 
-// noteHang notes whether a server gives no sign of life.
-func (t *Table) noteHang(e *entry, now time.Time) {
-	silence := e.silence(now)
-	hanging := silence > hangAfter
-	if hanging && !e.hanging {
-		t.log.WithFields(logrus.Fields{"replica": e.reg.ID, "silence_ms": silence.Milliseconds(), "requests": len(e.flights)}).Warn("replica gives no sign of life")
+// updateLiveness updates whether a server is unresponsive, and logs when it becomes so.
+func (t *Table) updateLiveness(e *entry, now time.Time) {
+	unresponsiveFor := e.unresponsiveFor(now)
+	unresponsive := unresponsiveFor > unresponsiveThreshold
+	if unresponsive && !e.unresponsive {
+		t.log.WithFields(logrus.Fields{"replica": e.reg.ID, "silence_ms": unresponsiveFor.Milliseconds(), "requests": len(e.flights)}).Warn("replica gives no sign of life")
 	}
-	e.hanging = hanging
+	e.unresponsive = unresponsive
 }
 
-// Suspect takes another host's word that servers are down. A sign of life that
-// this host has seen a moment ago outweighs it.
+// Suspect records another host's report that servers are down. A recent liveness signal that
+// this host has received outweighs it.
 func (t *Table) Suspect(host string, ids []string, now time.Time) {
 	if t.Off[mechanism.PeerDoubts] {
 		return
@@ -262,12 +268,12 @@
 	defer t.mu.Unlock()
 	for _, id := range ids {
 		e := t.entries[id]
-		if e == nil || now.Sub(e.lastHeard) <= heardLately {
+		if e == nil || now.Sub(e.lastSeen) <= recentlySeenThreshold {
 			continue
 		}
-		if !now.Before(e.health.suspected) {
+		if !now.Before(e.health.suspectedUntil) {
 			t.log.WithFields(logrus.Fields{"replica": id, "host": host}).Info("replica avoided: another host finds it down")
 		}
-		e.health.suspected = now.Add(suspectHold)
+		e.health.suspectedUntil = now.Add(suspicionTimeout)
 	}
 }
--- a/internal/replica/lagging.go
+++ b/internal/replica/lagging.go
@@ -7,53 +7,53 @@
 	pb "github.com/briarlink/briarlink/api/briarlink/v1"
 )
 
-// laggards are the servers that lack wanted weights, in order, if they are known: mostly
-// there are none. Each host looks for them some 20 times a second, a routing host 30
-// times; looking at each of 1,000 servers took 80 us, with this it takes 25 ns
-// (BenchmarkLagging).
-type laggards struct {
+// outdatedCache caches the IDs of the servers with outdated weights, in order; mostly there
+// are none. Each host looks for them about 20 times a second, a routing host 30 times. A
+// scan of 1,000 servers took 80 us; with the cache it takes 25 ns (BenchmarkLagging).
+type outdatedCache struct {
 	ids   []string
-	known bool
+	valid bool
 }
 
-// laggards returns the IDs of the servers that lack wanted weights, in order. What changes
-// weights, wanted versions or the servers makes them unknown.
-func (t *Table) laggards() []string {
-	if t.lagging.known {
-		return t.lagging.ids
+// outdatedIDs returns the IDs of the servers with outdated weights, in order. Changes of
+// weights, wanted versions or the set of servers invalidate the cache.
+func (t *Table) outdatedIDs() []string {
+	if t.outdated.valid {
+		return t.outdated.ids
 	}
-	t.lagging.ids = t.lagging.ids[:0]
+	t.outdated.ids = t.outdated.ids[:0]
 	for id, e := range t.entries {
-		if t.lacks(e) {
-			t.lagging.ids = append(t.lagging.ids, id)
+		if t.isOutdated(e) {
+			t.outdated.ids = append(t.outdated.ids, id)
 		}
 	}
-	slices.Sort(t.lagging.ids)
-	t.lagging.known = true
-	return t.lagging.ids
+	slices.Sort(t.outdated.ids)
+	t.outdated.valid = true
+	return t.outdated.ids
 }
 
-// Lagging returns those of the servers that lack the wanted weights, by ID.
+// Lagging returns the servers with outdated weights that may be given commands now, ordered
+// by ID.
 func (t *Table) Lagging(now time.Time) []Server {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []Server
-	for _, id := range t.laggards() {
-		if e := t.entries[id]; t.takesOrders(e) && !t.ordersWait(e, now) {
+	for _, id := range t.outdatedIDs() {
+		if e := t.entries[id]; t.acceptsCommands(e) && !t.commandsDeferred(e, now) {
 			out = append(out, t.server(id, e, now))
 		}
 	}
 	return out
 }
 
-// Lacking returns how many servers lack the wanted weights, and the longest time for
-// which one of them is known to.
+// Lacking returns how many servers have outdated weights, and for how long the one that is
+// outdated longest is known to be.
 func (t *Table) Lacking(now time.Time) (servers int, longest time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, id := range t.laggards() {
+	for _, id := range t.outdatedIDs() {
 		e := t.entries[id]
-		if !t.takesOrders(e) {
+		if !t.acceptsCommands(e) {
 			continue
 		}
 		servers++
@@ -66,15 +66,15 @@
 	return servers, longest
 }
 
-// Named returns the versions that some server lacks and of which it is known when
-// they were named, for other hosts: one that has just started cannot know.
+// Named returns the versions that are newer than those of some server and whose naming time
+// is known. A host that has just started depends on these reports of other hosts.
 func (t *Table) Named(now time.Time) []*pb.NamedWeights {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []*pb.NamedWeights
-	for model, least := range t.oldestLagging() {
+	for model, oldest := range t.oldestOutdated() {
 		for _, w := range t.wanted[model] {
-			if w.version > least && w.dated {
+			if w.version > oldest && w.exactSince {
 				out = append(out, &pb.NamedWeights{Model: model, Version: w.version, AgeMs: now.Sub(w.since).Milliseconds()})
 			}
 		}
@@ -82,17 +82,17 @@
 	return out
 }
 
-// oldestLagging returns the oldest version of each model that servers hold which lack
-// wanted weights.
-func (t *Table) oldestLagging() map[string]int64 {
+// oldestOutdated returns the oldest version of each model that servers with outdated weights
+// hold.
+func (t *Table) oldestOutdated() map[string]int64 {
 	oldest := map[string]int64{}
-	for _, id := range t.laggards() {
+	for _, id := range t.outdatedIDs() {
 		e := t.entries[id]
-		if !t.takesOrders(e) {
+		if !t.acceptsCommands(e) {
 			continue
 		}
 		for model, version := range e.weights {
-			if least, ok := oldest[model]; !ok || version < least {
+			if known, ok := oldest[model]; !ok || version < known {
 				oldest[model] = version
 			}
 		}
--- a/internal/replica/lagging_test.go
+++ b/internal/replica/lagging_test.go
@@ -11,9 +11,9 @@
 	"github.com/briarlink/briarlink/platform"
 )
 
-// TestLaggingServersAreThoseThatLackWeights, whatever order the word of servers, versions
-// and weights comes in.
-func TestLaggingServersAreThoseThatLackWeights(t *testing.T) {
+// TestLaggingReturnsServersWithOutdatedWeights checks the result for any order of updates of
+// servers, wanted versions and weights.
+func TestLaggingReturnsServersWithOutdatedWeights(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Now()
 		table := newTestTable("i-0", "i-1")
@@ -40,10 +40,10 @@
 				}
 			}
 			if !slices.Equal(got, want) {
-				t.Fatalf("%v lack weights, want %v", got, want)
+				t.Fatalf("outdated servers %v, want %v", got, want)
 			}
 			if n, _ := table.Lacking(now); n != len(want) {
-				t.Fatalf("%d lack weights, want %v", n, want)
+				t.Fatalf("%d outdated servers, want %v", n, want)
 			}
 		}
 	})
--- a/internal/replica/loads.go
+++ b/internal/replica/loads.go
@@ -7,81 +7,81 @@
 	pb "github.com/briarlink/briarlink/api/briarlink/v1"
 )
 
-// loadHold is how long what a host said of its work at a server counts. It says so
-// again each toldRounds heartbeats, some 0.6 s: three may be lost.
-const loadHold = 2500 * time.Millisecond
-
-// loads holds the work of other hosts at backend servers, and its sum for each
-// server: a routing decision looks at every server of a service, and would
-// otherwise add up what each host said of each of them.
-type loads struct {
-	byHost map[string]map[string]said
+// loadTimeout is how long a host's report of its load at a server counts. With few servers
+// in use it is repeated every minResendRounds heartbeats, about 0.6 s: three may be lost.
+const loadTimeout = 2500 * time.Millisecond
+
+// hostLoads holds the load of other hosts at backend servers, and its sum for each server: a
+// routing decision looks at every server of a service, and would otherwise add up the
+// reports of all hosts for each of them.
+type hostLoads struct {
+	byHost map[string]map[string]reportedLoad
 	sums   map[string]*pb.ReplicaLoad
 }
 
-// said is what a host said of its work at one server, and when.
-type said struct {
-	work *pb.ReplicaLoad
-	at   time.Time
+// reportedLoad is a host's report of its load at one server, and when it was received.
+type reportedLoad struct {
+	load       *pb.ReplicaLoad
+	receivedAt time.Time
 }
 
-func newLoads() loads {
-	return loads{byHost: map[string]map[string]said{}, sums: map[string]*pb.ReplicaLoad{}}
+func newLoads() hostLoads {
+	return hostLoads{byHost: map[string]map[string]reportedLoad{}, sums: map[string]*pb.ReplicaLoad{}}
 }
 
-// set takes what a host says of some servers in place of what it said before.
-func (l *loads) set(host string, work []*pb.ReplicaLoad, now time.Time) {
+// set replaces a host's loads at the reported servers.
+func (l *hostLoads) set(host string, reports []*pb.ReplicaLoad, now time.Time) {
 	servers := l.byHost[host]
-	if servers == nil && len(work) > 0 {
-		servers = map[string]said{}
+	if servers == nil && len(reports) > 0 {
+		servers = map[string]reportedLoad{}
 		l.byHost[host] = servers
 	}
-	for _, w := range work {
-		l.drop(host, w.Replica)
-		if idle(w) {
+	for _, report := range reports {
+		l.drop(host, report.Replica)
+		if idle(report) {
 			continue
 		}
-		servers[w.Replica] = said{w, now}
-		l.add(w, 1)
+		servers[report.Replica] = reportedLoad{report, now}
+		l.add(report, 1)
 	}
 }
 
-// drop takes back what a host said of a server.
-func (l *loads) drop(host, server string) {
-	if before, ok := l.byHost[host][server]; ok {
-		l.add(before.work, -1)
+// drop removes a host's load at a server.
+func (l *hostLoads) drop(host, server string) {
+	if previous, ok := l.byHost[host][server]; ok {
+		l.add(previous.load, -1)
 		delete(l.byHost[host], server)
 	}
 }
 
-// dropHost takes back all that a host said.
-func (l *loads) dropHost(host string) {
+// dropHost removes all loads of a host.
+func (l *hostLoads) dropHost(host string) {
 	for server := range l.byHost[host] {
 		l.drop(host, server)
 	}
 	delete(l.byHost, host)
 }
 
-// forget drops what every host said of its work at a server that started again;
-// their next word is of the new start.
-func (l *loads) forget(server string) {
+// dropServer removes the loads of all hosts at a server that restarted; their next reports
+// are about the new incarnation.
+func (l *hostLoads) dropServer(server string) {
 	for host := range l.byHost {
 		l.drop(host, server)
 	}
 }
 
-// expire drops what was not said again.
-func (l *loads) expire(now time.Time) {
+// expire removes the loads that were not reported again in time.
+func (l *hostLoads) expire(now time.Time) {
 	for host, servers := range l.byHost {
-		for server, s := range servers {
-			if now.Sub(s.at) >= loadHold {
+		for server, report := range servers {
+			if now.Sub(report.receivedAt) >= loadTimeout {
 				l.drop(host, server)
 			}
 		}
 	}
 }
 
-func (l *loads) add(w *pb.ReplicaLoad, sign int32) {
+func (l *hostLoads) add(w *pb.ReplicaLoad, sign int32) {
 	sum := l.sums[w.Replica]
 	if sum == nil {
 		sum = &pb.ReplicaLoad{}
@@ -106,43 +106,42 @@
 	sum.Failed += sign * w.GetFailed()
 }
 
-// SetLoads takes the work of another host at some servers in place of what it said
-// of them before.
-func (t *Table) SetLoads(host string, work []*pb.ReplicaLoad, now time.Time) {
+// SetLoads replaces another host's loads at the reported servers.
+func (t *Table) SetLoads(host string, reports []*pb.ReplicaLoad, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.others.set(host, work, now)
+	t.otherLoads.set(host, reports, now)
 }
 
-// DropLoads takes back what a host said of its work: it is lost or started again.
+// DropLoads removes the loads of a host that is lost or has restarted.
 func (t *Table) DropLoads(host string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.others.dropHost(host)
+	t.otherLoads.dropHost(host)
 }
 
-// ExpireLoads drops what other hosts have not said again for a while.
+// ExpireLoads removes the loads that other hosts have not reported again in time.
 func (t *Table) ExpireLoads(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.others.expire(now)
+	t.otherLoads.expire(now)
 }
 
-// Loads returns this host's own work, by server.
+// Loads returns this host's own load, ordered by server.
 func (t *Table) Loads(now time.Time) []*pb.ReplicaLoad {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []*pb.ReplicaLoad
 	for id, e := range t.active {
-		if e.quiet(now) {
+		if e.inactive(now) {
 			delete(t.active, id)
 			continue
 		}
-		recent := e.failures.lately(now)
+		recent := e.failures.recent(now)
 		if len(e.flights) == 0 && recent.ended == 0 {
 			continue
 		}
-		own := e.load(now)
+		own := e.ownLoad(now)
 		out = append(out, &pb.ReplicaLoad{
 			Replica: id, Ended: recent.ended, Failed: recent.failed,
 			Requests: own.requests, PrefillTokens: own.prefill, MemoryTokens: own.memory, Waiting: own.waiting,
@@ -152,7 +151,7 @@
 	return out
 }
 
-// Working reports whether requests of this host are at some server.
+// Working reports whether requests of this host are in flight at any server.
 func (t *Table) Working() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -164,37 +163,37 @@
 	return false
 }
 
-// load is the requests at a server that are not finished: a plain sum, as each routing
-// decision makes one for each server.
+// load is the sum of the unfinished requests at a server. It is a plain struct, as each
+// routing decision computes one for each server.
 type load struct {
 	requests, prefill, memory, waiting int32
 }
 
-// load returns the work of this host at a server.
-func (e *entry) load(now time.Time) load {
+// ownLoad returns the load of this host at a server.
+func (e *entry) ownLoad(now time.Time) load {
 	var l load
 	for f := range e.flights {
 		l.requests++
-		l.prefill += int32(f.prefill(now))
+		l.prefill += int32(f.pendingPrefill(now))
 		l.memory += int32(f.work.Memory)
-		if !f.answered {
+		if !f.answerStarted {
 			l.waiting++
 		}
 	}
 	return l
 }
 
-// failed returns how exchanges of all hosts with a server ended, lately.
-func (t *Table) failed(e *entry, now time.Time) outcomes {
-	o := e.failures.lately(now)
-	sum := t.others.sums[e.reg.ID]
+// recentOutcomes returns how recent exchanges of all hosts with a server ended.
+func (t *Table) recentOutcomes(e *entry, now time.Time) outcomes {
+	o := e.failures.recent(now)
+	sum := t.otherLoads.sums[e.reg.ID]
 	return outcomes{o.ended + sum.GetEnded(), o.failed + sum.GetFailed()}
 }
 
-// load returns the work of all hosts at a server.
-func (t *Table) load(e *entry, now time.Time) load {
-	l := e.load(now)
-	others := t.others.sums[e.reg.ID]
+// totalLoad returns the load of all hosts at a server.
+func (t *Table) totalLoad(e *entry, now time.Time) load {
+	l := e.ownLoad(now)
+	others := t.otherLoads.sums[e.reg.ID]
 	l.requests += others.GetRequests()
 	l.prefill += others.GetPrefillTokens()
 	l.memory += others.GetMemoryTokens()
--- a/internal/replica/notice.go
+++ b/internal/replica/notice.go
@@ -9,20 +9,20 @@
 	"github.com/briarlink/briarlink/platform"
 )
 
-// backoffYields is how long newer weights have been wanted of a server from which it is
-// ordered to load them during a backoff too: that may last longer than the server may go on
-// with older ones.
-const backoffYields = 3 * time.Second
+// backoffOverrideThreshold is how long newer weights must have been wanted before a server
+// is commanded to load them even during its backoff, which may last longer than the server
+// may keep serving with older weights.
+const backoffOverrideThreshold = 3 * time.Second
 
-// Told takes what the head of an answer to the flight says of its server.
+// Told applies what the head of an answer to this request says about its server.
 func (f *Flight) Told(a platform.ReplicaAnswer, now time.Time) {
 	f.table.mu.Lock()
 	defer f.table.mu.Unlock()
-	f.table.told(f.entry, a, now)
+	f.table.applyNotice(f.entry, a, now)
 }
 
-// ToldAt takes what an answer to a call other than a request says of the server at an
-// address. A server that has registered there since the call began is another one.
+// ToldAt applies what an answer to another call than a request says about the server at an
+// address. It ignores servers that registered after the call began.
 func (t *Table) ToldAt(address string, a platform.ReplicaAnswer, began time.Time) {
 	if !a.Leaving && a.RetryAfter == 0 {
 		return
@@ -30,21 +30,22 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, e := range t.entries {
-		if e.reg.Address == address && e.since.Before(began) {
-			t.told(e, a, clock.Now())
+		if e.reg.Address == address && e.firstSeen.Before(began) {
+			t.applyNotice(e, a, clock.Now())
 		}
 	}
 }
 
-// told takes a server's own word that it leaves as its entry's: the store may be silent,
-// or slow to take it.
-func (t *Table) told(e *entry, a platform.ReplicaAnswer, now time.Time) {
+// applyNotice applies a server's notice that it leaves, and its requested backoff. The
+// notice takes effect without the server's entry, since the store may be unavailable or
+// slow.
+func (t *Table) applyNotice(e *entry, a platform.ReplicaAnswer, now time.Time) {
 	if a.Instance != "" && a.Instance != e.reg.ID {
 		// Another server answers at this address.
 		return
 	}
-	if a.Leaving && !e.saidLeaving {
-		e.saidLeaving = true
+	if a.Leaving && !e.leaveNoticeReceived {
+		e.leaveNoticeReceived = true
 		t.log.WithFields(logrus.Fields{"replica": e.reg.ID, "state": e.state}).Info("replica says that it leaves")
 		t.fire(e, eventDrain, "an answer says that it leaves")
 	}
@@ -56,11 +57,11 @@
 	}
 }
 
-// backoff returns for how long a server wants no requests from this host. It is counted
-// from its answer's arrival, thus to a little after its end.
+// backoff returns the rest of the backoff that a server requested from this host. It is
+// counted from the arrival of the answer, and so ends slightly late.
 func (e *entry) backoff(now time.Time) time.Duration { return max(0, e.backoffUntil.Sub(now)) }
 
-// Backoff returns for how long a server wants no requests from this host.
+// Backoff returns the rest of the backoff that a server requested from this host.
 func (t *Table) Backoff(id string, now time.Time) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -70,13 +71,13 @@
 	return 0
 }
 
-// ordersWait reports whether orders wait for the end of a server's backoff.
-func (t *Table) ordersWait(e *entry, now time.Time) bool {
+// commandsDeferred reports whether commands to a server wait for the end of its backoff.
+func (t *Table) commandsDeferred(e *entry, now time.Time) bool {
 	if e.backoff(now) == 0 {
 		return false
 	}
 	for model, version := range e.weights {
-		if first, newer := t.firstNewer(model, version); newer && now.Sub(first.since) >= backoffYields {
+		if first, newer := t.firstNewer(model, version); newer && now.Sub(first.since) >= backoffOverrideThreshold {
 			return false
 		}
 	}
--- a/internal/replica/notice_test.go
+++ b/internal/replica/notice_test.go
@@ -7,10 +7,10 @@
 	"github.com/briarlink/briarlink/platform"
 )
 
-var leaves = platform.ReplicaAnswer{Leaving: true}
+var leaveNotice = platform.ReplicaAnswer{Leaving: true}
 
-// takes reports whether requests may go to server a, and orders.
-func takes(t *testing.T, table *Table) (requests, orders bool) {
+// accepts reports whether server a may be given requests and commands.
+func accepts(t *testing.T, table *Table) (requests, commands bool) {
 	t.Helper()
 	now := time.Now()
 	snapshot := table.Snapshot(testService, testModel, 1000, now)
@@ -22,59 +22,61 @@
 		flight.End(Cancelled, now)
 	}
 	if snapshot[0].Usable != (flight != nil) {
-		t.Errorf("usable: %v, takes requests: %v", snapshot[0].Usable, flight != nil)
+		t.Errorf("usable: %v, accepts requests: %v", snapshot[0].Usable, flight != nil)
 	}
 	return snapshot[0].Usable, len(table.Servers(now)) == 1
 }
 
-// TestServersOwnWordThatItLeavesHolds from the answer on, whatever its entry says: the store
-// may take minutes to say the same. A later start of the ID is another server.
-func TestServersOwnWordThatItLeavesHolds(t *testing.T) {
+// TestLeaveNoticeInAnswerTakesEffect checks that a server counts as leaving from the answer
+// that says so, whatever its entry says: the store may show it minutes later. A later
+// incarnation of the ID is not affected.
+func TestLeaveNoticeInAnswerTakesEffect(t *testing.T) {
 	table := NewTable(quietLog(), func(string, string) {})
 	table.Register(startOf(1000, 1), 0)
 	earlier := table.Begin("a", Work{}, time.Now())
 	flight := table.Begin("a", Work{}, time.Now())
 	flight.Told(platform.ReplicaAnswer{}, time.Now())
-	if requests, orders := takes(t, table); !requests || !orders {
-		t.Error("taken for leaving without a word")
+	if requests, commands := accepts(t, table); !requests || !commands {
+		t.Error("counted as leaving without a notice")
 	}
-	flight.Told(leaves, time.Now())
+	flight.Told(leaveNotice, time.Now())
 	table.Register(startOf(1000, 1), 1)
-	if requests, orders := takes(t, table); requests || orders {
-		t.Errorf("after its word: requests %v, orders %v", requests, orders)
+	if requests, commands := accepts(t, table); requests || commands {
+		t.Errorf("after the leave notice: requests %v, commands %v", requests, commands)
 	}
 	table.Register(startOf(2000, 1), 2)
-	earlier.Told(leaves, time.Now())
-	if requests, orders := takes(t, table); !requests || !orders {
-		t.Error("a later start is taken for leaving at the word of the one before")
+	earlier.Told(leaveNotice, time.Now())
+	if requests, commands := accepts(t, table); !requests || !commands {
+		t.Error("a later incarnation counts as leaving because of a notice of the earlier one")
 	}
 }
 
-// TestWhoseWordItIs: an answer may come from another server at the same address, or have
-// been asked of the start before.
-func TestWhoseWordItIs(t *testing.T) {
+// TestNoticeOfAnotherServerIsIgnored checks that a notice only counts for the server that
+// sent it: an answer may come from another server at the same address, or belong to a call
+// that began before the server registered.
+func TestNoticeOfAnotherServerIsIgnored(t *testing.T) {
 	table := NewTable(quietLog(), func(string, string) {})
 	before := time.Now()
 	table.Register(startOf(1000, 1), 0)
-	other := leaves
-	other.Instance = "b"
-	table.Begin("a", Work{}, time.Now()).Told(other, time.Now())
-	table.ToldAt(crashAddress, leaves, before)
-	table.ToldAt("10.0.0.9:1", leaves, time.Now())
+	otherServer := leaveNotice
+	otherServer.Instance = "b"
+	table.Begin("a", Work{}, time.Now()).Told(otherServer, time.Now())
+	table.ToldAt(crashAddress, leaveNotice, before)
+	table.ToldAt("10.0.0.9:1", leaveNotice, time.Now())
 	table.ToldAt(crashAddress, platform.ReplicaAnswer{}, time.Now())
-	if requests, _ := takes(t, table); !requests {
-		t.Error("taken for leaving at another one's word")
+	if requests, _ := accepts(t, table); !requests {
+		t.Error("counted as leaving because of another server's notice")
 	}
-	own := leaves
+	own := leaveNotice
 	own.Instance = "a"
 	table.ToldAt(crashAddress, own, time.Now())
-	if requests, _ := takes(t, table); requests {
-		t.Error("its word in an answer to another call than a request was not heard")
+	if requests, _ := accepts(t, table); requests {
+		t.Error("its notice in an answer to another call than a request was ignored")
 	}
 }
 
-// TestBackoff: a server gets no requests until its backoff is over, nor orders, unless newer
-// weights have been wanted of it for long. The longest backoff that it asked for holds.
+// TestBackoff checks that a server gets no requests during its backoff, and no commands
+// unless newer weights have been wanted for long. The longest requested backoff counts.
 func TestBackoff(t *testing.T) {
 	table := NewTable(quietLog(), func(string, string) {})
 	table.Register(startOf(1000, 1), 0)
@@ -87,18 +89,18 @@
 		if got := table.Snapshot(testService, testModel, 1000, at)[0].Backoff; got != want || table.Backoff("a", at) != want {
 			t.Errorf("after %v: %v left, want %v", after, got, want)
 		}
-		if orders := len(table.Servers(at)) == 1; orders != (want == 0) {
-			t.Errorf("after %v: takes orders: %v", after, orders)
+		if commands := len(table.Servers(at)) == 1; commands != (want == 0) {
+			t.Errorf("after %v: accepts commands: %v", after, commands)
 		}
 	}
 	table.Want(testModel, 2, now)
-	for after, want := range map[time.Duration]int{backoffYields - time.Millisecond: 0, backoffYields: 1} {
+	for after, want := range map[time.Duration]int{backoffOverrideThreshold - time.Millisecond: 0, backoffOverrideThreshold: 1} {
 		if got := len(table.Lagging(now.Add(after))); got != want {
-			t.Errorf("%v after newer weights were named: %d servers to be ordered, want %d", after, got, want)
+			t.Errorf("%v after newer weights were named: %d servers to be given commands, want %d", after, got, want)
 		}
 	}
 	table.Register(startOf(2000, 1), 1)
 	if table.Backoff("a", now) != 0 || table.Backoff("gone", now) != 0 {
-		t.Error("the backoff of an earlier start holds")
+		t.Error("the backoff of an earlier incarnation still counts")
 	}
 }
--- a/internal/replica/pace.go
+++ b/internal/replica/pace.go
@@ -8,53 +8,54 @@
 )
 
 const (
-	// paceMemory is how many answers a pace is the median of. An answer that was preempted,
-	// or sent again, may be late by any factor.
-	paceMemory = 8
-	// leastPaced is the least own time of a request to an engine that says something of its
-	// pace: shorter ones are mostly time on the way.
-	leastPaced = 100 * time.Millisecond
-	// aloneShare of what was expected must be the request's own time: the rest was spent
-	// behind others, or on a fetch.
-	aloneShare = 0.8
-	// slowestPace and fastestPace bound a pace.
-	slowestPace = 8.0
-	fastestPace = 0.2
-	// pacesTold is the number of servers whose pace one heartbeat tells, in turn: some
-	// 25 bytes each.
-	pacesTold = 6
+	// maxSlowdownSamples is the number of answers whose median is the slowdown. The answer
+	// to a preempted or resent request may be late by any factor.
+	maxSlowdownSamples = 8
+	// minEngineTime is the shortest expected service time of a request to an engine that
+	// counts as a sample: shorter ones are mostly network time.
+	minEngineTime = 100 * time.Millisecond
+	// minOwnShare is the minimum share of the expected time that must be the request's own:
+	// the rest is spent queued behind other requests, or on a fetch.
+	minOwnShare = 0.8
+	// maxSlowdown and minSlowdown are the limits of a slowdown.
+	maxSlowdown = 8.0
+	minSlowdown = 0.2
+	// slowdownsPerHeartbeat is the number of servers, in turn, whose slowdown one heartbeat
+	// reports, at about 25 bytes each.
+	slowdownsPerHeartbeat = 6
 )
 
-// pace is how long a server takes for its own work, as a multiple of what the policy
-// expects of any. Servers of one service may be machines of different kinds, and not of
-// the one that the policy reckons with.
-type pace struct {
+// slowdown is the ratio of a server's measured service time to the one that the policy
+// expects of any server. The servers of a service may be different types of machines, and
+// other types than the policy assumes.
+type slowdown struct {
 	ratio   float64
 	samples float64
 }
 
-// answers are the paces that the last answers of a server showed, the newest last.
-type answers []float64
+// sampleWindow holds the slowdowns of a server's last answers, the newest last.
+type sampleWindow []float64
 
-// take adds an answer.
-func (a *answers) take(ratio float64) {
-	*a = append(*a, min(max(ratio, fastestPace), slowestPace))
-	if len(*a) > paceMemory {
+// add appends the slowdown of an answer.
+func (a *sampleWindow) add(ratio float64) {
+	*a = append(*a, min(max(ratio, minSlowdown), maxSlowdown))
+	if len(*a) > maxSlowdownSamples {
 		*a = slices.Delete(*a, 0, 1)
 	}
 }
 
-// pace returns their median, the lower one of two.
-func (a answers) pace() pace {
+// median returns the median, the lower one of two.
+func (a sampleWindow) median() slowdown {
 	if len(a) == 0 {
-		return pace{}
+		return slowdown{}
 	}
 	sorted := slices.Sorted(slices.Values(a))
-	return pace{sorted[(len(sorted)-1)/2], float64(len(a))}
+	return slowdown{sorted[(len(sorted)-1)/2], float64(len(a))}
 }
 
-// add joins what another host found, or another server.
-func (p *pace) add(other pace) {
+// merge adds the slowdown measured by another host, or of another server, as a weighted
+// mean.
+func (p *slowdown) merge(other slowdown) {
 	if other.samples <= 0 {
 		return
 	}
@@ -62,90 +63,91 @@
 	p.ratio += (other.ratio - p.ratio) * other.samples / p.samples
 }
 
-// paced takes the pace that an answer shows, and reports whether it shows one.
-func (e *entry) paced(f *Flight, actual time.Duration) bool {
+// recordSlowdown records the slowdown that an answer shows, and reports whether it shows
+// one.
+func (e *entry) recordSlowdown(f *Flight, actual time.Duration) bool {
 	own := f.work.Own
-	if own <= 0 || f.work.Engine && own < leastPaced {
+	if own <= 0 || f.work.Engine && own < minEngineTime {
 		return false
 	}
-	if float64(f.work.Expected)*aloneShare > float64(own)*max(1, f.work.Pace) {
+	if float64(f.work.Expected)*minOwnShare > float64(own)*max(1, f.work.Pace) {
 		return false
 	}
-	e.answers.take(float64(actual) / float64(own))
+	e.slowdownSamples.add(float64(actual) / float64(own))
 	return true
 }
 
-// paces holds what other hosts found, by server and host.
-type paces map[string]map[string]pace
+// slowdownReports holds the slowdowns that other hosts measured, by server and host.
+type slowdownReports map[string]map[string]slowdown
 
-// paceOf returns the pace of a server: what all hosts found, or else what they found of
-// the others of its service, or 1.
-func (t *Table) paceOf(e *entry) float64 {
-	if e.found > 0 {
-		return e.found
+// slowdownOf returns the merged slowdown of a server, or else the mean of its service, or 1.
+func (t *Table) slowdownOf(e *entry) float64 {
+	if e.mergedSlowdown > 0 {
+		return e.mergedSlowdown
 	}
-	if usual := t.usual[e.reg.Service]; usual.samples > 0 {
-		return usual.ratio
+	if service := t.serviceSlowdowns[e.reg.Service]; service.samples > 0 {
+		return service.ratio
 	}
 	return 1
 }
 
-// Paces returns what this host found of some servers, in turn, for the other hosts.
+// Paces returns the slowdowns that this host measured of some servers, in turn, for the
+// other hosts.
 func (t *Table) Paces() []*pb.ReplicaPace {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var ids []string
-	for id, e := range t.paced {
-		if len(e.answers) > 0 {
+	for id, e := range t.withSlowdown {
+		if len(e.slowdownSamples) > 0 {
 			ids = append(ids, id)
 		}
 	}
 	slices.Sort(ids)
 	var out []*pb.ReplicaPace
-	for range min(pacesTold, len(ids)) {
-		at, _ := slices.BinarySearch(ids, t.paceCursor)
+	for range min(slowdownsPerHeartbeat, len(ids)) {
+		at, _ := slices.BinarySearch(ids, t.slowdownCursor)
 		id := ids[at%len(ids)]
-		// The next in order comes next time.
-		t.paceCursor = id + "\x00"
-		p := t.entries[id].answers.pace()
+		// The next call starts after this ID.
+		t.slowdownCursor = id + "\x00"
+		p := t.entries[id].slowdownSamples.median()
 		out = append(out, &pb.ReplicaPace{Replica: id, Ratio: float32(p.ratio), Samples: int32(p.samples)})
 	}
 	return out
 }
 
-// JoinPaces joins what all hosts found: each routing decision would otherwise do so for
-// each server.
+// JoinPaces merges the slowdowns that all hosts measured, so that routing decisions need not
+// do so for each server.
 func (t *Table) JoinPaces() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.usual = map[string]pace{}
-	for id, e := range t.paced {
-		all := e.answers.pace()
-		for _, other := range t.paces[id] {
-			all.add(other)
+	t.serviceSlowdowns = map[string]slowdown{}
+	for id, e := range t.withSlowdown {
+		merged := e.slowdownSamples.median()
+		for _, other := range t.peerSlowdowns[id] {
+			merged.merge(other)
 		}
-		if all.samples == 0 {
+		if merged.samples == 0 {
 			continue
 		}
-		e.found = all.ratio
-		usual := t.usual[e.reg.Service]
-		usual.add(pace{all.ratio, 1})
-		t.usual[e.reg.Service] = usual
+		e.mergedSlowdown = merged.ratio
+		service := t.serviceSlowdowns[e.reg.Service]
+		service.merge(slowdown{merged.ratio, 1})
+		t.serviceSlowdowns[e.reg.Service] = service
 	}
 }
 
-// HeardPaces takes what another host found.
-func (t *Table) HeardPaces(host string, told []*pb.ReplicaPace) {
+// HeardPaces records the slowdowns that another host measured.
+func (t *Table) HeardPaces(host string, reports []*pb.ReplicaPace) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, w := range told {
-		if t.entries[w.Replica] == nil || w.Samples <= 0 || w.Ratio < fastestPace || w.Ratio > slowestPace {
+	for _, report := range reports {
+		if t.entries[report.Replica] == nil || report.Samples <= 0 || report.Ratio < minSlowdown || report.Ratio > maxSlowdown {
 			continue
 		}
-		if t.paces[w.Replica] == nil {
-			t.paces[w.Replica] = map[string]pace{}
+		if t.peerSlowdowns[report.Replica] == nil {
+			t.peerSlowdowns[report.Replica] = map[string]slowdown{}
 		}
-		t.keep(t.paced, t.entries[w.Replica])
-		t.paces[w.Replica][host] = pace{float64(w.Ratio), min(float64(w.Samples), paceMemory)}
+		t.track(t.withSlowdown, t.entries[report.Replica])
+		t.peerSlowdowns[report.Replica][host] = slowdown{float64(report.Ratio), min(float64(report.Samples), maxSlowdownSamples)}
 	}
 }
--- a/internal/replica/restart_test.go
+++ b/internal/replica/restart_test.go
@@ -8,7 +8,8 @@
 	"github.com/briarlink/briarlink/platform"
 )
 
-// startOf is the entry of a start of server a, at a Unix time in milliseconds.
+// startOf returns the registration of an incarnation of server a, started at a Unix time in
+// milliseconds.
 func startOf(started int64, version int64) platform.Registration {
 	return platform.Registration{
 		ID: "a", Started: started, Service: testService, Address: "10.0.0.1:1", Slots: 4,
@@ -16,9 +17,9 @@
 	}
 }
 
-// TestRestartUnderTheSameIDBeginsAnew: requests in flight, failures, weights and
-// drains of the earlier start are forgotten, here and of what other hosts said.
-func TestRestartUnderTheSameIDBeginsAnew(t *testing.T) {
+// TestRestartUnderTheSameIDResetsState checks that requests in flight, failures, weights and
+// drains of the earlier incarnation are dropped, and also what other hosts reported.
+func TestRestartUnderTheSameIDResetsState(t *testing.T) {
 	var dropped []string
 	table := NewTable(quietLog(), func(id, _ string) { dropped = append(dropped, id) })
 	now := time.Now()
@@ -32,25 +33,26 @@
 
 	table.Register(startOf(2000, 1), 2)
 	if len(dropped) != 1 || dropped[0] != "a" {
-		t.Errorf("beliefs of %v were dropped, want a's once", dropped)
+		t.Errorf("state of %v was dropped, want a's once", dropped)
 	}
 	r := table.Snapshot(testService, testModel, 1000, now)[0]
 	if !r.Usable || r.Doubted || r.Requests != 0 || r.PrefillTokens != 0 || r.Errors != 0 || r.Weights != 1 {
-		t.Errorf("the new start is believed to be %+v", r)
+		t.Errorf("state of the new incarnation: %+v", r)
 	}
-	// The exchange with the earlier start ends late.
+	// The exchange with the earlier incarnation ends late.
 	flight.End(Lost, now.Add(time.Second))
 	if r := table.Snapshot(testService, testModel, 1000, now.Add(time.Second))[0]; r.Errors != 0 || r.Doubted {
-		t.Errorf("the end of an earlier start's request counts against the new one: %+v", r)
+		t.Errorf("the end of a request to the earlier incarnation counts against the new one: %+v", r)
 	}
 	if got := table.Servers(now)[0].Started; got != 2000 {
 		t.Errorf("started %d, want 2000", got)
 	}
 }
 
-// TestLateWordOfAnEarlierStartChangesNothing: it may be draining, or elsewhere.
-func TestLateWordOfAnEarlierStartChangesNothing(t *testing.T) {
-	table := NewTable(quietLog(), func(string, string) { t.Error("the newer start was dropped") })
+// TestLateEntryOfAnEarlierStartIsIgnored checks that an earlier incarnation's entry,
+// draining or at another address, does not change the current one.
+func TestLateEntryOfAnEarlierStartIsIgnored(t *testing.T) {
+	table := NewTable(quietLog(), func(string, string) { t.Error("the newer incarnation was dropped") })
 	table.Register(startOf(2000, 2), 0)
 	late := startOf(1000, 9)
 	late.Draining, late.Address = true, "10.0.0.2:1"
@@ -61,8 +63,8 @@
 	}
 }
 
-// TestServersOfUnknownServicesGetNoOrders: an entry may name a service that no
-// operator named.
+// TestServersOfUnknownServicesGetNoOrders checks entries that name a service which no
+// operator has configured.
 func TestServersOfUnknownServicesGetNoOrders(t *testing.T) {
 	table := newTestTable("a")
 	table.Known = func(service string) bool { return service != testService }
@@ -71,17 +73,17 @@
 	}
 }
 
-// TestSuspicionAloneDoesNotKeepWeightsOld: a host that found a server down tells so
-// until a request succeeds there. On old weights the server is given none, so that the
-// suspicion would last for ever if it kept the server from being ordered.
-func TestSuspicionAloneDoesNotKeepWeightsOld(t *testing.T) {
+// TestSuspicionDoesNotBlockWeightUpdates checks that a server which only another host
+// reports as down is still commanded to load weights. With old weights it gets no requests,
+// so a suspicion that lasts until a request succeeds there would never end.
+func TestSuspicionDoesNotBlockWeightUpdates(t *testing.T) {
 	there, here := newTestTable("a"), newTestTable("a")
 	now := time.Now()
 	there.Begin("a", Work{}, now).End(Unreachable, now)
 	there.Reached("a", true, now)
 	down, _ := there.Down(now)
 	if len(down) != 1 {
-		t.Fatalf("told as down: %v", down)
+		t.Fatalf("reported as down: %v", down)
 	}
 	here.Suspect("there", down, now)
 	s := here.Servers(now)[0]
@@ -89,22 +91,22 @@
 		t.Errorf("here it is %+v, want suspected and not down", s)
 	}
 	if r := here.Snapshot(testService, testModel, 1000, now)[0]; !r.Doubted {
-		t.Error("requests are not kept from a server that another host finds down")
+		t.Error("a server that another host reports as down still gets requests")
 	}
-	// One host's word ends soon after it could connect again, though no request has
-	// succeeded there: with a hundred other servers none may come for long.
-	if down, _ := there.Down(now.Add(2 * tellAfterReached)); len(down) != 0 {
-		t.Errorf("still told as down: %v", down)
+	// A host's report ends soon after it could connect again, even if no request has
+	// succeeded there: with a hundred other servers, none may be sent for a long time.
+	if down, _ := there.Down(now.Add(2 * reportAfterReached)); len(down) != 0 {
+		t.Errorf("still reported as down: %v", down)
 	}
-	// What this host has seen itself still counts.
+	// What this host has observed itself still counts.
 	here.Begin("a", Work{}, now).End(Unreachable, now)
 	if s := here.Servers(now)[0]; !s.Down {
 		t.Error("a server that this host cannot reach is not down")
 	}
 }
 
-// TestAnswerOfAnotherServerAtAnOldAddress: a request was sent to the address that a server
-// has left; the answer of its new owner says nothing of the server.
+// TestAnswerOfAnotherServerAtAnOldAddress checks a request that was sent to a server's
+// former address: the answer of the address's new owner says nothing about the server.
 func TestAnswerOfAnotherServerAtAnOldAddress(t *testing.T) {
 	table := newTestTable("a")
 	before := table.Servers(time.Now())[0].Address
@@ -112,7 +114,7 @@
 	table.Register(moved, 9)
 	table.RemoveAt("a", before)
 	if table.Count() != 1 {
-		t.Error("a server that has moved was removed")
+		t.Error("a server that has changed its address was removed")
 	}
 	table.RemoveAt("a", moved.Address)
 	if table.Count() != 0 {
--- a/internal/replica/services.go
+++ b/internal/replica/services.go
@@ -3,26 +3,27 @@
 import "slices"
 
 const (
-	// maxCandidates is the number of servers of one service from which a routing decision
-	// looks at some only. At 3,000 servers a look at all takes 3.3 ms of a host's
-	// processor time, and one at so many 0.23 ms (BenchmarkPickAmongMany, busy machine).
+	// maxCandidates is the number of servers of one service above which a routing decision
+	// considers only some of them. With 3,000 servers, considering all takes 3.3 ms of
+	// processor time, and considering this many 0.23 ms (BenchmarkPickAmongMany, busy
+	// machine).
 	maxCandidates = 160
 )
 
-// services holds the IDs of the servers of each service, in order: a routing decision looks
-// at those of one service, and its result must not depend on the order of a map.
+// services holds the ordered IDs of the servers of each service: a routing decision
+// considers those of one service, and its result must not depend on map iteration order.
 type services map[string][]string
 
 func (s services) add(service, id string) {
-	i, known := slices.BinarySearch(s[service], id)
-	if !known {
+	i, found := slices.BinarySearch(s[service], id)
+	if !found {
 		s[service] = slices.Insert(s[service], i, id)
 	}
 }
 
 func (s services) remove(service, id string) {
-	i, known := slices.BinarySearch(s[service], id)
-	if !known {
+	i, found := slices.BinarySearch(s[service], id)
+	if !found {
 		return
 	}
 	s[service] = slices.Delete(s[service], i, i+1)
@@ -31,9 +32,10 @@
 	}
 }
 
-// some returns the servers that a decision looks at: all of a service, or those that come
-// after the place of a key in their order. Requests with the same key find the same ones.
-func (s services) some(service string, key uint64) []string {
+// candidates returns the servers that a routing decision considers: all of a service, or as
+// many as maxCandidates from the key's position in their order. Requests with the same key
+// get the same servers.
+func (s services) candidates(service string, key uint64) []string {
 	all := s[service]
 	if len(all) <= maxCandidates {
 		return all
--- a/internal/replica/table.go
+++ b/internal/replica/table.go
@@ -1,6 +1,6 @@
-// Package replica keeps the table of backend servers: what each registered of
-// itself, the work that all hosts have sent it, and how its answers went. It
-// builds the snapshots on which routing decides.
+// Package replica keeps the table of backend servers: their registrations, the load that all
+// hosts put on them, and how their answers went. It builds the snapshots that routing
+// decisions are made on.
 package replica
 
 import (
@@ -25,7 +25,8 @@
 const (
 	StateServing  = "serving"
 	StateDraining = "draining"
-	// StateLapsed servers lost their entry while the store was in an outage.
+	// StateLapsed is the state of a server whose entry went missing during an outage of the
+	// store.
 	StateLapsed = "lapsed"
 	StateGone   = "gone"
 )
@@ -37,8 +38,8 @@
 	eventRemove   = "remove"
 )
 
-// newMachine returns the state machine of one start of a backend server. A
-// drained or removed server does not serve again under the same ID.
+// newMachine returns the state machine of one incarnation of a backend server. A drained or
+// removed server never serves again in the same incarnation.
 func newMachine() *fsm.FSM {
 	return fsm.NewFSM(StateServing, fsm.Events{
 		{Name: eventRegister, Src: []string{StateLapsed}, Dst: StateServing},
@@ -51,102 +52,105 @@
 // Diagram returns the state machine as a Mermaid diagram.
 func Diagram() string { return statemachine.Diagram(newMachine()) }
 
-// Table is the table of backend servers of one host. It is safe for concurrent
-// use; mu is its only lock.
+// Table is one host's table of backend servers. It is safe for concurrent use; mu is its
+// only lock.
 type Table struct {
 	log *logrus.Logger
-	// gone is told of servers that left, or started again under their ID, without
-	// the lock.
-	gone func(id, address string)
-	// Off holds the mechanisms that are switched off; it is set before use.
+	// onRemove is called, without the lock, for each server that left or restarted under its
+	// ID.
+	onRemove func(id, address string)
+	// Off holds the disabled mechanisms; it is set before use.
 	Off mechanism.Off
-	// Known reports whether operators named a service; it is set before use and
-	// called under the lock. Nobody gives orders to servers of other services: an
-	// entry may come from another writer.
+	// Known reports whether operators have configured a service; it is set before use and
+	// called under the lock. Servers of other services get no commands, since other writers
+	// may add entries to the store.
 	Known func(service string) bool
-	// Crashed is told, without the lock, of a server that crashed and of the requests that
-	// it was running; it is set before use.
+	// Crashed is called, without the lock, for each server that crashed, with the requests
+	// that it was running; it is set before use.
 	Crashed func(server quarantine.Server, requests []quarantine.Digest, now time.Time)
 
 	mu      sync.Mutex
 	entries map[string]*entry
-	// active holds the entries with requests of this host, now or lately, and those that
-	// are to be looked at: of many servers a host uses a few at a time. lapsed and paced
-	// hold those in an outage of the store and those of which a pace is known; an entry may
-	// have left that state.
-	active, lapsed, paced map[string]*entry
-	// machine steps the state of one entry at a time: one of its own for each of thousands
-	// would be half of what an entry takes.
+	// active holds the entries with current or recent requests of this host and those that
+	// need attention: of many servers, a host uses only a few at a time. lapsed holds the
+	// entries that lapsed during a store outage, withSlowdown those with a known slowdown.
+	// An entry may have left these states since it was added.
+	active, lapsed, withSlowdown map[string]*entry
+	// machine computes the transitions of all entries, one at a time: with thousands of
+	// entries, a machine for each would take half of an entry's memory.
 	machine *fsm.FSM
 	// services holds the IDs of each service's servers, in order.
 	services services
-	// wanted holds the versions of each model, the newest last.
-	wanted map[string][]wanted
-	// held is the newest version of each model that any server of a service was seen to
-	// hold.
-	held    map[serviceModel]int64
-	lagging laggards
-	// others is the work of other hosts.
-	others loads
-	// paces is what other hosts found, usual the pace of each service's servers; the next
-	// pace that is told comes after paceCursor.
-	paces      paces
-	usual      map[string]pace
-	paceCursor string
-	// crashes are told of once the lock is released.
-	crashes []crash
-	// generation counts the changes of which servers there are and may be used.
+	// wanted holds the wanted weights versions of each model, the newest last.
+	wanted map[string][]wantedVersion
+	// newestHeld is the newest version of each model that any server of a service was seen
+	// to hold.
+	newestHeld map[serviceModel]int64
+	outdated   outdatedCache
+	// otherLoads is the load that other hosts put on the servers.
+	otherLoads hostLoads
+	// peerSlowdowns holds the slowdowns that other hosts measured, serviceSlowdowns the mean
+	// of each service's servers. The next report starts after slowdownCursor.
+	peerSlowdowns    slowdownReports
+	serviceSlowdowns map[string]slowdown
+	slowdownCursor   string
+	// pendingCrashes are passed to Crashed once the lock is released.
+	pendingCrashes []crash
+	// generation counts the changes of the set of servers and of those that may be used.
 	generation uint64
 }
 
+// entry is the record of one incarnation of a server.
 type entry struct {
 	reg     platform.Registration
 	state   string
 	reason  string
 	weights map[string]int64
-	// loadingUntil is when an order that was told of is given up on.
+	// loadingUntil is when a reported command to load weights is assumed to have failed.
 	loadingUntil time.Time
-	// unsure is until when the server is asked for its weights: it refused those
-	// that it was believed to hold.
-	unsure   time.Time
-	flights  map[*Flight]bool
-	health   health
-	failures failures
-	// answers are what this host's last answers showed of the server's pace, and found is
-	// the pace that all hosts found, or 0.
-	answers answers
-	found   float64
-	// hanging is whether the server gave no sign of life when it was last looked at.
-	hanging bool
-	// lastHeard is the last sign of life in any answer.
-	lastHeard time.Time
-	// backoffUntil is until when the server wants no requests from this host.
+	// unverifiedUntil is the time until which the server is asked which weights it holds,
+	// after it refused a request for the weights that it was assumed to hold.
+	unverifiedUntil time.Time
+	flights         map[*Flight]bool
+	health          health
+	failures        failures
+	// slowdownSamples are the slowdowns of the last answers that this host received;
+	// mergedSlowdown is the slowdown measured by all hosts, or 0 if there is none.
+	slowdownSamples sampleWindow
+	mergedSlowdown  float64
+	// unresponsive is set if the server had exceeded unresponsiveThreshold at the last
+	// check.
+	unresponsive bool
+	// lastSeen is the time of the last liveness signal in any answer.
+	lastSeen time.Time
+	// backoffUntil is the end of the backoff that the server requested from this host.
 	backoffUntil time.Time
-	// since is when this host came to know the start.
-	since time.Time
-	// saidLeaving is set once an answer said that the server leaves.
-	saidLeaving bool
-	// broken are the requests whose connections broke lately; look is set while the server
-	// is to be looked at for it, and ended is when nothing listened there, or zero.
-	broken []broken
-	look   bool
-	ended  time.Time
+	// firstSeen is when this host first received the registration of this incarnation.
+	firstSeen time.Time
+	// leaveNoticeReceived is set once an answer said that the server leaves.
+	leaveNoticeReceived bool
+	// brokenRequests are the requests whose exchanges recently broke off. needsProbe is set
+	// while the server is to be probed because of that. connectionRefusedAt is when nothing
+	// listened at its address, or zero.
+	brokenRequests      []brokenRequest
+	needsProbe          bool
+	connectionRefusedAt time.Time
 }
 
-// NewTable returns an empty table. gone is called for each server that left, and
-// when one started again: what is believed of it is to be dropped.
-func NewTable(log *logrus.Logger, gone func(id, address string)) *Table {
+// NewTable returns an empty table. onRemove is called for each server that left or
+// restarted; the caller then drops its state of that server.
+func NewTable(log *logrus.Logger, onRemove func(id, address string)) *Table {
 	return &Table{
-		log: log, gone: gone, Known: func(string) bool { return true },
+		log: log, onRemove: onRemove, Known: func(string) bool { return true },
 		Crashed: func(quarantine.Server, []quarantine.Digest, time.Time) {},
-		machine: newMachine(), entries: map[string]*entry{}, active: map[string]*entry{}, lapsed: map[string]*entry{}, paced: map[string]*entry{}, services: services{}, wanted: map[string][]wanted{}, held: map[serviceModel]int64{}, others: newLoads(), paces: paces{},
+		machine: newMachine(), entries: map[string]*entry{}, active: map[string]*entry{}, lapsed: map[string]*entry{}, withSlowdown: map[string]*entry{}, services: services{}, wanted: map[string][]wantedVersion{}, newestHeld: map[serviceModel]int64{}, otherLoads: newLoads(), peerSlowdowns: slowdownReports{},
 	}
 }
 
-// Register takes a server's own entry of the store. A server that started again
-// under its ID begins anew: its flights, failures, weights and whatever the
-// callback drops belonged to the earlier start. Late word of an earlier start
-// changes nothing.
+// Register applies a server's registration from the store. A server that restarted under its
+// ID starts with empty state: its requests, failures and weights, and whatever onRemove
+// drops, belonged to the earlier incarnation. Late entries of an earlier incarnation are
+// ignored.
 func (t *Table) Register(reg platform.Registration, offset int64) {
 	t.mu.Lock()
 	e := t.entries[reg.ID]
@@ -159,19 +163,19 @@
 	address := ""
 	if restarted {
 		address = t.remove(reg.ID, e, "started again")
-		t.others.forget(reg.ID)
+		t.otherLoads.dropServer(reg.ID)
 	}
 	t.register(reg, offset)
-	t.unlock()
+	t.unlockAndNotify()
 	if restarted {
-		t.gone(reg.ID, address)
+		t.onRemove(reg.ID, address)
 	}
 }
 
 func (t *Table) register(reg platform.Registration, offset int64) {
 	e := t.entries[reg.ID]
 	if e == nil {
-		e = &entry{state: StateServing, since: clock.Now(), weights: map[string]int64{}}
+		e = &entry{state: StateServing, firstSeen: clock.Now(), weights: map[string]int64{}}
 		t.entries[reg.ID] = e
 		t.generation++
 		t.log.WithFields(logrus.Fields{"replica": reg.ID, "service": reg.Service, "address": reg.Address, "started": reg.Started, "offset": offset}).Info("replica registered")
@@ -179,7 +183,7 @@
 	t.services.remove(e.reg.Service, reg.ID)
 	t.services.add(reg.Service, reg.ID)
 	e.reg = reg
-	t.lagging.known = false
+	t.outdated.valid = false
 	for model, version := range reg.Weights {
 		t.setWeights(e, model, version)
 	}
@@ -190,8 +194,8 @@
 	}
 }
 
-// Remove takes the removal of a server's entry. One that is not trusted may be
-// the trace of an outage of the store: the server goes on serving until Settle.
+// Remove applies the removal of a server's entry. An untrusted removal may be an effect of a
+// store outage: the server keeps serving until Settle.
 func (t *Table) Remove(id string, trusted bool) {
 	t.mu.Lock()
 	e := t.entries[id]
@@ -201,17 +205,17 @@
 	}
 	if !trusted && e.is(StateServing) {
 		t.fire(e, eventLapse, "entry missing after an outage of the store")
-		t.keep(t.lapsed, e)
+		t.track(t.lapsed, e)
 		t.mu.Unlock()
 		return
 	}
 	address := t.remove(id, e, "entry removed")
-	t.unlock()
-	t.gone(id, address)
+	t.unlockAndNotify()
+	t.onRemove(id, address)
 }
 
-// RemoveAt removes a server whose address answers for another one, unless it has
-// registered elsewhere since the request was sent there.
+// RemoveAt removes a server at whose address another server answers, unless it has
+// registered elsewhere since the request was sent.
 func (t *Table) RemoveAt(id, address string) {
 	t.mu.Lock()
 	e := t.entries[id]
@@ -220,11 +224,11 @@
 		return
 	}
 	t.remove(id, e, "its address answers for another server")
-	t.unlock()
-	t.gone(id, address)
+	t.unlockAndNotify()
+	t.onRemove(id, address)
 }
 
-// Settle removes the servers whose entries are still missing after an outage.
+// Settle removes the servers whose entries are still missing after a store outage.
 func (t *Table) Settle() {
 	t.mu.Lock()
 	removed := map[string]string{}
@@ -234,21 +238,21 @@
 		}
 	}
 	clear(t.lapsed)
-	t.unlock()
+	t.unlockAndNotify()
 	for id, address := range removed {
-		t.gone(id, address)
+		t.onRemove(id, address)
 	}
 }
 
 func (t *Table) remove(id string, e *entry, reason string) string {
-	t.crashed(e, clock.Now())
+	t.attributeCrash(e, clock.Now())
 	t.fire(e, eventRemove, reason)
 	delete(t.entries, id)
 	delete(t.active, id)
-	delete(t.paced, id)
-	delete(t.paces, id)
+	delete(t.withSlowdown, id)
+	delete(t.peerSlowdowns, id)
 	t.services.remove(e.reg.Service, id)
-	t.lagging.known = false
+	t.outdated.valid = false
 	return e.reg.Address
 }
 
@@ -263,34 +267,33 @@
 	t.log.WithFields(logrus.Fields{"replica": e.reg.ID, "state": e.state, "reason": reason}).Info("replica changed state")
 }
 
-// is reports whether the entry is in a state.
 func (e *entry) is(state string) bool { return e.state == state }
 
-// keep puts an entry into a set, unless it belongs to an earlier start of its server.
-func (t *Table) keep(set map[string]*entry, e *entry) {
+// track adds an entry to a set, unless it belongs to an earlier incarnation of its server.
+func (t *Table) track(set map[string]*entry, e *entry) {
 	if t.entries[e.reg.ID] == e {
 		set[e.reg.ID] = e
 	}
 }
 
-// quiet reports whether nothing is to be told or looked at of an entry.
-func (e *entry) quiet(now time.Time) bool {
-	return len(e.flights) == 0 && e.health.pause == 0 && !e.hanging && !e.look && !now.Before(e.unsure) && e.failures.lately(now).ended == 0
+// inactive reports whether there is nothing to report or check about an entry.
+func (e *entry) inactive(now time.Time) bool {
+	return len(e.flights) == 0 && e.health.downTime == 0 && !e.unresponsive && !e.needsProbe && !now.Before(e.unverifiedUntil) && e.failures.recent(now).ended == 0
 }
 
-// Snapshot returns the servers of one service at a moment, by ID.
+// Snapshot returns the servers of one service, ordered by ID.
 func (t *Table) Snapshot(service, model string, cacheTokens int, now time.Time) []route.Replica {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.snapshot(t.services[service], model, cacheTokens, now)
 }
 
-// Candidates returns the servers that one routing decision looks at, and whether they are
-// all of the service: where there are many, they are some, the same ones for the same key.
-func (t *Table) Candidates(service, model string, key uint64, cacheTokens int, now time.Time) (some []route.Replica, all bool) {
+// Candidates returns the servers that one routing decision considers, and whether they are
+// all servers of the service. In a large service they are a subset that depends on the key.
+func (t *Table) Candidates(service, model string, key uint64, cacheTokens int, now time.Time) (candidates []route.Replica, all bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	ids := t.services.some(service, key)
+	ids := t.services.candidates(service, key)
 	return t.snapshot(ids, model, cacheTokens, now), len(ids) == len(t.services[service])
 }
 
@@ -303,29 +306,29 @@
 }
 
 func (t *Table) replica(id string, e *entry, model string, cacheTokens int, now time.Time) route.Replica {
-	l := t.load(e, now)
+	l := t.totalLoad(e, now)
 	serving := e.is(StateServing) || e.is(StateLapsed)
 	down, trial := e.health.state(now)
-	silence := e.silence(now)
+	unresponsiveFor := e.unresponsiveFor(now)
 	return route.Replica{
 		ID: id, Address: e.reg.Address, AvailabilityZone: e.reg.AvailabilityZone, Software: e.reg.Software,
-		Backoff: e.backoff(now), Usable: serving && !e.health.unreachable, Doubted: down || silence >= hangAfter, Trial: trial, Loading: now.Before(e.loadingUntil),
+		Backoff: e.backoff(now), Usable: serving && !e.health.unreachable, Doubted: down || unresponsiveFor >= unresponsiveThreshold, Trial: trial, Loading: now.Before(e.loadingUntil),
 		Weights: e.weights[model], Behind: t.behind(e.reg.Service, model, e.weights[model], now), Slots: e.reg.Slots,
 		Requests: int(l.requests), PrefillTokens: int(l.prefill),
 		MemoryTokens: int(l.memory), CacheTokens: cacheTokens,
-		Slow: e.health.slow(now), Pace: t.paceOf(e), Errors: t.failed(e, now).share(), Silence: silence,
+		Slow: e.health.slow(now), Pace: t.slowdownOf(e), Errors: t.recentOutcomes(e, now).share(), Silence: unresponsiveFor,
 	}
 }
 
-// VersionLoad is what runs on the servers of a service with one version of its software.
+// VersionLoad is the load of the servers of a service that run one software version.
 type VersionLoad struct {
-	// Servers are ready, and run Slots requests at once.
+	// Servers is the number of ready servers, Slots how many requests these run at once.
 	Servers, Slots int
-	// Requests of all hosts are not finished, at any of the version's servers.
+	// Requests counts the unfinished requests of all hosts at any server of the version.
 	Requests int
 }
 
-// Versions returns the versions of a service's software that its servers have.
+// Versions returns the load of each software version that a service's servers run.
 func (t *Table) Versions(service string, now time.Time) map[string]VersionLoad {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -337,13 +340,13 @@
 			v.Servers++
 			v.Slots += e.reg.Slots
 		}
-		v.Requests += int(t.load(e, now).requests)
+		v.Requests += int(t.totalLoad(e, now).requests)
 		out[e.reg.Software] = v
 	}
 	return out
 }
 
-// Server is a server that may be ordered to load weights.
+// Server is a server that may be commanded to load weights.
 type Server struct {
 	ID      string
 	Address string
@@ -351,59 +354,61 @@
 	Weights map[string]int64
 	// Started is as in platform.Registration.
 	Started int64
-	// Requests of all hosts are not finished.
+	// Requests counts the unfinished requests of all hosts.
 	Requests int
-	// Down servers are thought unreachable or hanging by this host itself, Suspected
-	// ones by another.
+	// Down is set if this host itself finds the server unreachable or unresponsive,
+	// Suspected if another host has reported it down and this host has not marked it down.
 	Down      bool
 	Suspected bool
 }
 
-// Servers returns the servers that are neither leaving nor gone and hold
-// weights of some model, by ID.
+// Servers returns the servers, ordered by ID, that hold weights of some model, are neither
+// draining nor removed, and don't defer commands because of a backoff.
 func (t *Table) Servers(now time.Time) []Server {
 	return t.servers(t.entries, now, func(*entry) bool { return true })
 }
 
-// Generation changes whenever another set of servers, or of those that may be used, is known.
+// Generation returns a number that changes with the set of servers and of those that may be
+// used.
 func (t *Table) Generation() uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.generation
 }
 
-// Endpoint is where a server that holds weights of some model answers.
+// Endpoint is the address of a server that holds weights of some model.
 type Endpoint struct {
 	ID, Address, Service string
 	// Started is as in platform.Registration.
 	Started int64
 }
 
-// Endpoints returns those of the servers that Servers returns, in no order.
+// Endpoints returns, in no particular order, the servers that may be commanded to load
+// weights, including those that defer commands because of a backoff.
 func (t *Table) Endpoints() []Endpoint {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	out := make([]Endpoint, 0, len(t.entries))
 	for id, e := range t.entries {
-		if t.takesOrders(e) {
+		if t.acceptsCommands(e) {
 			out = append(out, Endpoint{ID: id, Address: e.reg.Address, Service: e.reg.Service, Started: e.reg.Started})
 		}
 	}
 	return out
 }
 
-// takesOrders reports whether a server may be ordered to load weights.
-func (t *Table) takesOrders(e *entry) bool {
+// acceptsCommands reports whether a server may be commanded to load weights.
+func (t *Table) acceptsCommands(e *entry) bool {
 	return len(e.weights) > 0 && t.Known(e.reg.Service) && (e.is(StateServing) || e.is(StateLapsed))
 }
 
-// servers returns those of some entries that may be ordered.
-func (t *Table) servers(of map[string]*entry, now time.Time, want func(*entry) bool) []Server {
+// servers returns the matching entries that may be given commands now, ordered by ID.
+func (t *Table) servers(entries map[string]*entry, now time.Time, match func(*entry) bool) []Server {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []Server
-	for id, e := range of {
-		if want(e) && t.takesOrders(e) && !t.ordersWait(e, now) {
+	for id, e := range entries {
+		if match(e) && t.acceptsCommands(e) && !t.commandsDeferred(e, now) {
 			out = append(out, t.server(id, e, now))
 		}
 	}
@@ -416,12 +421,11 @@
 	suspected := e.health.onlySuspected(now)
 	return Server{
 		ID: id, Address: e.reg.Address, Service: e.reg.Service, Started: e.reg.Started, Weights: maps.Clone(e.weights),
-		Requests: int(t.load(e, now).requests), Down: down && !suspected || e.silence(now) > hangAfter, Suspected: suspected,
+		Requests: int(t.totalLoad(e, now).requests), Down: down && !suspected || e.unresponsiveFor(now) > unresponsiveThreshold, Suspected: suspected,
 	}
 }
 
-// Waiting returns how many requests of all hosts wait at a server for their first
-// event.
+// Waiting returns how many requests of all hosts at a server wait for their first event.
 func (t *Table) Waiting(id string, now time.Time) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -429,17 +433,17 @@
 	if e == nil {
 		return 0
 	}
-	return int(t.load(e, now).waiting)
+	return int(t.totalLoad(e, now).waiting)
 }
 
-// Count returns the number of known servers.
+// Count returns the number of servers in the table.
 func (t *Table) Count() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return len(t.entries)
 }
 
-// Status returns every server for operators, by ID.
+// Status returns the status of every server for operators, ordered by ID.
 func (t *Table) Status(now time.Time) []*pb.ReplicaStatus {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/replica/table_test.go
+++ b/internal/replica/table_test.go
@@ -35,9 +35,9 @@
 	return t
 }
 
-// TestOvertakenWeightsCountFromTheFirstNewerVersion: a replica on version 1 has
-// the time that version 2 gave it, however soon version 3 was named.
-func TestOvertakenWeightsCountFromTheFirstNewerVersion(t *testing.T) {
+// TestSupersededWeightsCountFromTheFirstNewerVersion checks that a replica on version 1
+// counts as behind since version 2 was named, however soon version 3 followed.
+func TestSupersededWeightsCountFromTheFirstNewerVersion(t *testing.T) {
 	table := newTestTable("a")
 	start := time.Now()
 	table.Want(testModel, 2, start)
@@ -53,22 +53,23 @@
 	}
 }
 
-// TestOwnReportOfOlderWeightsCounts, unless it is older than what is believed by now.
+// TestOwnReportOfOlderWeightsCounts checks that a server's own report of older weights is
+// applied, unless the recorded weights have changed since.
 func TestOwnReportOfOlderWeightsCounts(t *testing.T) {
 	table := newTestTable("a")
 	now := time.Now()
 	table.Want(testModel, 4, now)
 	table.Holds("a", testModel, 3)
 	if table.HoldsOlder("a", testModel, 2, 1) {
-		t.Error("a report overtaken by newer weights was taken")
+		t.Error("a report superseded by newer weights was applied")
 	}
 	if !table.HoldsOlder("a", testModel, 3, 2) || table.Servers(now)[0].Weights[testModel] != 2 {
 		t.Errorf("weights %v, want version 2", table.Servers(now)[0].Weights)
 	}
 }
 
-// TestReplicasThatLackWeightsAreCounted for operators, who see a rollout that stands still.
-func TestReplicasThatLackWeightsAreCounted(t *testing.T) {
+// TestOutdatedReplicasAreCounted checks the counts that show operators a stalled rollout.
+func TestOutdatedReplicasAreCounted(t *testing.T) {
 	table := newTestTable("a", "b", "c")
 	start := time.Now()
 	table.Want(testModel, 2, start)
@@ -76,18 +77,19 @@
 	table.Want(testModel, 3, start.Add(3*time.Second))
 	n, longest := table.Lacking(start.Add(8 * time.Second))
 	if n != 3 || longest != 8*time.Second {
-		t.Errorf("%d lack weights, one for %v; want 3, for 8s", n, longest)
+		t.Errorf("%d outdated, the longest for %v; want 3, for 8s", n, longest)
 	}
 	for _, id := range []string{"a", "b", "c"} {
 		table.Holds(id, testModel, 3)
 	}
 	if n, longest := table.Lacking(start.Add(9 * time.Second)); n != 0 || longest != 0 {
-		t.Errorf("%d lack weights, one for %v; want none", n, longest)
+		t.Errorf("%d outdated, the longest for %v; want none", n, longest)
 	}
 }
 
-// TestLapsedEntryServesUntilTheOutageIsOver: an entry that went missing in an
-// outage means nothing at first, and that its server is gone afterwards.
+// TestLapsedEntryServesUntilTheOutageIsOver checks that a server whose entry went missing
+// during a store outage keeps serving, and is removed if the entry is still missing after
+// it.
 func TestLapsedEntryServesUntilTheOutageIsOver(t *testing.T) {
 	table := newTestTable("a", "b", "c")
 	now := time.Now()
@@ -114,9 +116,9 @@
 	return out
 }
 
-// TestDrainingTakesNothingNew also holds for a request that was routed before
-// the entry changed.
-func TestDrainingTakesNothingNew(t *testing.T) {
+// TestDrainingServerGetsNoNewRequests also covers a request that was routed before the entry
+// changed.
+func TestDrainingServerGetsNoNewRequests(t *testing.T) {
 	table := newTestTable("a")
 	now := time.Now()
 	table.Register(platform.Registration{ID: "a", Service: testService, Draining: true}, 5)
@@ -126,22 +128,22 @@
 	if table.Begin("a", Work{}, now) != nil {
 		t.Error("a draining server was given a request")
 	}
-	// A late copy of the older entry changes nothing.
+	// A late copy of the older entry must change nothing.
 	table.Register(platform.Registration{ID: "a", Service: testService}, 6)
 	if got := usable(table, now); got != "" {
 		t.Errorf("usable again: %q", got)
 	}
 }
 
-// TestUnreachableIsTriedByOne: once it can be connected to again, one request
-// tries the server.
-func TestUnreachableIsTriedByOne(t *testing.T) {
+// TestUnreachableServerGetsOneTrialRequest checks that a single request is sent to a server
+// once it can be connected to again.
+func TestUnreachableServerGetsOneTrialRequest(t *testing.T) {
 	table := newTestTable("a")
 	now := time.Now()
 	table.Begin("a", Work{}, now).End(Unreachable, now)
-	now = now.Add(downFirst)
+	now = now.Add(minDownTime)
 	if got := usable(table, now); got != "" {
-		t.Fatalf("usable before it was reached: %q", got)
+		t.Fatalf("usable before it could be connected to: %q", got)
 	}
 	if _, due := table.Down(now); len(due) != 1 {
 		t.Fatalf("due for a connection: %v", due)
@@ -149,7 +151,7 @@
 	table.Reached("a", true, now)
 	trial := table.Begin("a", Work{}, now)
 	if got := usable(table, now); got != "" {
-		t.Errorf("usable while it is tried: %q", got)
+		t.Errorf("usable during the trial: %q", got)
 	}
 	trial.End(Answered, now)
 	if got := usable(table, now); got != "a" {
@@ -157,8 +159,8 @@
 	}
 }
 
-// TestHangingServerStaysDown: when the callers that waited for it have left, the
-// server is not thought well again.
+// TestHangingServerStaysDown checks that an unresponsive server is not marked up because the
+// callers that waited for it have left.
 func TestHangingServerStaysDown(t *testing.T) {
 	table := newTestTable("a")
 	start := time.Now()
@@ -173,9 +175,9 @@
 	}
 }
 
-// TestOtherHostsWordIsOutweighedBySignsOfLife: a host that is cut off from a
-// server does not make the others give it up.
-func TestOtherHostsWordIsOutweighedBySignsOfLife(t *testing.T) {
+// TestRecentAnswerOutweighsSuspicion checks that a host cut off from a server does not make
+// other hosts avoid a server that answers them.
+func TestRecentAnswerOutweighsSuspicion(t *testing.T) {
 	table := newTestTable("a", "b")
 	now := time.Now()
 	table.Begin("a", Work{}, now).End(Answered, now)
@@ -183,14 +185,14 @@
 	if got := usable(table, now); got != "a" {
 		t.Errorf("usable: %q, want a", got)
 	}
-	if got := usable(table, now.Add(suspectHold)); got != "ab" {
-		t.Errorf("usable once the word is old: %q, want both", got)
+	if got := usable(table, now.Add(suspicionTimeout)); got != "ab" {
+		t.Errorf("usable once the report has expired: %q, want both", got)
 	}
 }
 
-// TestSilenceCountsFromTheLastSignOfLife: a replica that answers others does not
-// hang, however long one answer takes.
-func TestSilenceCountsFromTheLastSignOfLife(t *testing.T) {
+// TestSilenceCountsFromTheLastAnswer checks that a replica that answers other requests does
+// not count as unresponsive, however long one answer takes.
+func TestSilenceCountsFromTheLastAnswer(t *testing.T) {
 	table := newTestTable("a")
 	start := time.Now()
 	work := Work{Expected: 100 * time.Millisecond}
@@ -206,9 +208,9 @@
 	}
 }
 
-// TestUnreadTokensFallWithTime: what a replica has read no longer stands before
-// the next request.
-func TestUnreadTokensFallWithTime(t *testing.T) {
+// TestPendingPrefillFallsWithTime checks that tokens a replica has prefilled no longer count
+// as queued before the next request.
+func TestPendingPrefillFallsWithTime(t *testing.T) {
 	table := newTestTable("a")
 	start := time.Now()
 	f := table.Begin("a", Work{Prefill: 1000, Memory: 1200, Expected: 300 * time.Millisecond, Reading: 200 * time.Millisecond}, start)
@@ -227,7 +229,7 @@
 	}
 }
 
-// TestSlownessIsForgotten: a server that looked slow is tried again.
+// TestSlownessIsForgotten checks that a server that seemed slow is used again.
 func TestSlownessIsForgotten(t *testing.T) {
 	table := newTestTable("a")
 	start := time.Now()
@@ -243,8 +245,8 @@
 	}
 }
 
-// TestShortWaitsDoNotLookSlow: a small request that stood behind a large one of
-// another host says nothing of its server.
+// TestShortWaitsDoNotLookSlow checks that a small request queued behind a large one of
+// another host does not make its server look slow.
 func TestShortWaitsDoNotLookSlow(t *testing.T) {
 	table := newTestTable("a")
 	now := time.Now()
@@ -254,9 +256,9 @@
 	}
 }
 
-// TestLateWordOfLoading: a server that holds what is wanted serves, whatever an
-// older heartbeat says.
-func TestLateWordOfLoading(t *testing.T) {
+// TestLateLoadingReportIsIgnored checks that a server that holds the wanted weights serves,
+// even if an older heartbeat reports it as loading.
+func TestLateLoadingReportIsIgnored(t *testing.T) {
 	table := newTestTable("a")
 	now := time.Now()
 	table.Want(testModel, 2, now)
@@ -270,9 +272,9 @@
 	}
 }
 
-// TestWhatIsThoughtIsLogged: once when a server is thought down, once when it
-// serves again, however often it fails in between.
-func TestWhatIsThoughtIsLogged(t *testing.T) {
+// TestHealthChangesAreLoggedOnce checks that marking a server down and up is logged once
+// each, however often it fails in between.
+func TestHealthChangesAreLoggedOnce(t *testing.T) {
 	table := newTestTable("a")
 	var out bytes.Buffer
 	table.log.SetOutput(&out)
@@ -290,8 +292,8 @@
 	out.Reset()
 	table.Begin("a", Work{}, now)
 	for range 3 {
-		table.Down(now.Add(2 * hangAfter))
-		table.Suspect("b", []string{"a"}, now.Add(2*hangAfter))
+		table.Down(now.Add(2 * unresponsiveThreshold))
+		table.Suspect("b", []string{"a"}, now.Add(2*unresponsiveThreshold))
 	}
 	for _, message := range []string{"replica gives no sign of life", "replica avoided: another host finds it down"} {
 		if n := strings.Count(out.String(), message); n != 1 {
@@ -300,10 +302,11 @@
 	}
 }
 
-// TestConnectTimeoutsThatRunBesideEachOtherCountOnce: all of them may come of one moment in
-// which this host was slow. One that began after the first had ended is certain, and so is
-// one to a server that something else speaks against.
-func TestConnectTimeoutsThatRunBesideEachOtherCountOnce(t *testing.T) {
+// TestConcurrentConnectTimeoutsCountOnce checks that concurrent connect timeouts count once,
+// as all may be caused by one moment in which this host was slow. A timeout of an attempt
+// that began after the first one ended makes the server unreachable, and so does one to a
+// server that is already marked down.
+func TestConcurrentConnectTimeoutsCountOnce(t *testing.T) {
 	const timeout = 400 * time.Millisecond
 	table := newTestTable("a", "hangs")
 	start := time.Now()
@@ -313,14 +316,14 @@
 				return r.Usable, r.Doubted
 			}
 		}
-		t.Fatalf("%s is not known", id)
+		t.Fatalf("%s is not in the table", id)
 		return false, false
 	}
 	first := table.Begin("a", Work{}, start)
-	beside := table.Begin("a", Work{}, start.Add(timeout/2))
+	concurrent := table.Begin("a", Work{}, start.Add(timeout/2))
 	first.End(ConnectTimeout, start.Add(timeout))
 	now := start.Add(timeout + timeout/2)
-	beside.End(ConnectTimeout, now)
+	concurrent.End(ConnectTimeout, now)
 	if usable, doubted := state("a", now); !usable || !doubted {
 		t.Errorf("after one timeout: usable %t, doubted %t; want both", usable, doubted)
 	}
@@ -333,34 +336,35 @@
 	if usable, doubted := state("a", now.Add(2*timeout)); !usable || !doubted {
 		t.Errorf("one timeout after an answer: usable %t, doubted %t; want both", usable, doubted)
 	}
-	table.Begin("hangs", Work{}, start).End(Cancelled, start.Add(2*hangAfter))
-	table.Begin("hangs", Work{}, start.Add(2*hangAfter)).End(ConnectTimeout, start.Add(2*hangAfter+timeout))
-	if usable, _ := state("hangs", start.Add(2*hangAfter+timeout)); usable {
-		t.Error("a server that hung and then timed out is usable")
+	table.Begin("hangs", Work{}, start).End(Cancelled, start.Add(2*unresponsiveThreshold))
+	table.Begin("hangs", Work{}, start.Add(2*unresponsiveThreshold)).End(ConnectTimeout, start.Add(2*unresponsiveThreshold+timeout))
+	if usable, _ := state("hangs", start.Add(2*unresponsiveThreshold+timeout)); usable {
+		t.Error("a server that was unresponsive and then timed out is usable")
 	}
 }
 
-// TestDoubtsAreNotUnreachability: a server that hangs may be tried as the last
-// resort, one that cannot be connected to may not.
-func TestDoubtsAreNotUnreachability(t *testing.T) {
+// TestSuspectedIsNotUnreachable checks that an unresponsive server remains usable as a last
+// resort, while one that cannot be connected to does not.
+func TestSuspectedIsNotUnreachable(t *testing.T) {
 	table := newTestTable("hangs", "gone")
 	now := time.Now()
-	table.Begin("hangs", Work{}, now).End(Cancelled, now.Add(2*hangAfter))
+	table.Begin("hangs", Work{}, now).End(Cancelled, now.Add(2*unresponsiveThreshold))
 	table.Begin("gone", Work{}, now).End(Unreachable, now)
-	for _, r := range table.Snapshot(testService, testModel, 0, now.Add(2*hangAfter)) {
+	for _, r := range table.Snapshot(testService, testModel, 0, now.Add(2*unresponsiveThreshold)) {
 		if r.Usable != (r.ID == "hangs") || !r.Doubted {
 			t.Errorf("%s: usable %t, doubted %t", r.ID, r.Usable, r.Doubted)
 		}
 	}
 	table.Reached("gone", true, now)
-	for _, r := range table.Snapshot(testService, testModel, 0, now.Add(2*hangAfter)) {
+	for _, r := range table.Snapshot(testService, testModel, 0, now.Add(2*unresponsiveThreshold)) {
 		if !r.Usable {
 			t.Errorf("%s is not usable though a connection could be opened", r.ID)
 		}
 	}
 }
 
-// TestSnapshotHoldsEachServiceInOrder, whatever comes, goes and changes its service.
+// TestSnapshotHoldsEachServiceInOrder checks snapshots as servers register, leave and change
+// their service.
 func TestSnapshotHoldsEachServiceInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := NewTable(quietLog(), func(string, string) {})
@@ -393,7 +397,8 @@
 	})
 }
 
-// BenchmarkEndpoints: what each routing host asks every 200 ms to follow caches.
+// BenchmarkEndpoints measures the call that each routing host makes every 200 ms to follow
+// the servers' caches.
 func BenchmarkEndpoints(b *testing.B) {
 	table := newTestTable(manyIDs()...)
 	for b.Loop() {
@@ -401,7 +406,8 @@
 	}
 }
 
-// BenchmarkLagging: what each host asks every 60 ms while nothing is to be loaded.
+// BenchmarkLagging measures the call that each host makes every 60 ms while all weights are
+// up to date.
 func BenchmarkLagging(b *testing.B) {
 	table := newTestTable(manyIDs()...)
 	now := time.Now()
@@ -410,7 +416,7 @@
 	}
 }
 
-// manyIDs returns the IDs of a large fleet's servers.
+// manyIDs returns the IDs of the servers of a large fleet.
 func manyIDs() []string {
 	ids := make([]string, 1000)
 	for i := range ids {
--- a/internal/replica/told.go
+++ b/internal/replica/told.go
@@ -7,48 +7,49 @@
 )
 
 const (
-	// toldRounds is the number of rounds in which each server's work is said again,
-	// changed or not: what a lost datagram held is made up for within them.
-	toldRounds = 4
-	// toldAgain is the number of servers that are said again in a round, some 20 bytes each:
-	// with more servers in use there are more rounds, and maxRounds at the most, since what
-	// others know counts for sixteen (loadHold). What has changed is told at once all the same.
-	toldAgain = 100
-	maxRounds = 14
-	// toldTokens is the change of unread or needed tokens that is worth a word: a
-	// replica reads them in some 15 ms.
-	toldTokens = 700
+	// minResendRounds is the minimum number of rounds over which the loads of all servers
+	// are resent, changed or not. Lost datagrams are made up for within these rounds.
+	minResendRounds = 4
+	// resendsPerRound is the number of servers whose load is resent in a round, at about 20
+	// bytes each. With more servers in use there are more rounds, but at most
+	// maxResendRounds, since other hosts keep a load for 16 heartbeats (loadTimeout).
+	// Changes are reported at once all the same.
+	resendsPerRound = 100
+	maxResendRounds = 14
+	// minTokenChange is the change of pending prefill or memory tokens that is reported at
+	// once: a replica prefills that many in about 15 ms.
+	minTokenChange = 700
 )
 
-// Told is what the other hosts were told of this one's work. A table of every
-// server at each heartbeat would grow with their number; what has changed does not.
-// It is for one goroutine.
+// Told holds the loads that were last reported to the other hosts. With each heartbeat only
+// the changes are sent, since a full table would grow with the number of servers. It is not
+// safe for concurrent use.
 type Told struct {
 	last  map[string]*pb.ReplicaLoad
 	round uint64
 }
 
-// Changes returns what is to be told of the work: what differs from what was told
-// last. A round also says a part of the rest again.
-func (t *Told) Changes(work []*pb.ReplicaLoad, round bool) []*pb.ReplicaLoad {
+// Changes returns the loads to report: those that differ from what was last reported and, in
+// a round, also a part of the unchanged ones.
+func (t *Told) Changes(loads []*pb.ReplicaLoad, round bool) []*pb.ReplicaLoad {
 	if t.last == nil {
 		t.last = map[string]*pb.ReplicaLoad{}
 	}
 	if round {
 		t.round++
 	}
-	rounds := min(maxRounds, max(toldRounds, uint64(len(work))/toldAgain))
+	rounds := min(maxResendRounds, max(minResendRounds, uint64(len(loads))/resendsPerRound))
 	var out []*pb.ReplicaLoad
-	now := make(map[string]bool, len(work))
-	for _, w := range work {
-		now[w.Replica] = true
-		if differs(w, t.last[w.Replica]) || round && t.due(w.Replica, rounds) {
-			t.last[w.Replica] = w
-			out = append(out, w)
+	present := make(map[string]bool, len(loads))
+	for _, l := range loads {
+		present[l.Replica] = true
+		if differs(l, t.last[l.Replica]) || round && t.due(l.Replica, rounds) {
+			t.last[l.Replica] = l
+			out = append(out, l)
 		}
 	}
 	for id := range t.last {
-		if !now[id] {
+		if !present[id] {
 			delete(t.last, id)
 			out = append(out, &pb.ReplicaLoad{Replica: id})
 		}
@@ -56,17 +57,17 @@
 	return out
 }
 
-// due reports whether a server's work is said again in this round.
+// due reports whether a server's load is resent in this round.
 func (t *Told) due(id string, rounds uint64) bool {
 	return xxh3.HashString(id)%rounds == t.round%rounds
 }
 
-func differs(w, last *pb.ReplicaLoad) bool {
+func differs(current, last *pb.ReplicaLoad) bool {
 	if last == nil {
 		return true
 	}
-	return w.Requests != last.Requests || w.Waiting != last.Waiting || w.Failed != last.Failed ||
-		far(w.PrefillTokens, last.PrefillTokens) || far(w.MemoryTokens, last.MemoryTokens)
+	return current.Requests != last.Requests || current.Waiting != last.Waiting || current.Failed != last.Failed ||
+		tokensDiffer(current.PrefillTokens, last.PrefillTokens) || tokensDiffer(current.MemoryTokens, last.MemoryTokens)
 }
 
-func far(a, b int32) bool { return max(a-b, b-a) >= toldTokens }
+func tokensDiffer(a, b int32) bool { return max(a-b, b-a) >= minTokenChange }
--- a/internal/replica/told_test.go
+++ b/internal/replica/told_test.go
@@ -11,24 +11,24 @@
 	_ "github.com/briarlink/briarlink/test/fixedseed"
 )
 
-// TestToldWorkIsKnown: whatever changes, and though some words are lost, another
-// host knows the work some rounds after it has come to rest.
-func TestToldWorkIsKnown(t *testing.T) {
+// TestReportedLoadsConverge checks that another host has the right loads a few rounds after
+// the last change, whatever changed and even if some reports are lost.
+func TestReportedLoadsConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var told Told
-		heard := newLoads()
+		var reporter Told
+		received := newLoads()
 		now := time.Unix(1000, 0)
 		work := map[string]*pb.ReplicaLoad{}
-		say := func(round, lost bool) {
+		send := func(round, lost bool) {
 			var list []*pb.ReplicaLoad
 			for _, w := range work {
 				list = append(list, w)
 			}
-			changes := told.Changes(list, round)
+			changes := reporter.Changes(list, round)
 			if !lost {
-				heard.set("there", changes, now)
+				received.set("there", changes, now)
 			}
-			heard.expire(now)
+			received.expire(now)
 		}
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			id := fmt.Sprint("i-", rapid.IntRange(0, 9).Draw(t, "server"))
@@ -38,49 +38,49 @@
 				delete(work, id)
 			}
 			round := rapid.Bool().Draw(t, "round")
-			say(round, rapid.IntRange(0, 9).Draw(t, "lost") == 0)
+			send(round, rapid.IntRange(0, 9).Draw(t, "lost") == 0)
 			if round {
 				now = now.Add(150 * time.Millisecond)
 			}
 		}
 		for range 20 {
-			say(true, false)
+			send(true, false)
 			now = now.Add(150 * time.Millisecond)
 		}
 		for i := range 10 {
 			id := fmt.Sprint("i-", i)
-			if got, want := heard.sums[id].GetRequests(), work[id].GetRequests(); got != want {
-				t.Fatalf("%s: %d requests are known of %d", id, got, want)
+			if got, want := received.sums[id].GetRequests(), work[id].GetRequests(); got != want {
+				t.Fatalf("%s: %d requests recorded, want %d", id, got, want)
 			}
 		}
 	})
 }
 
-// testBeat is the usual interval of heartbeats.
-const testBeat = 150 * time.Millisecond
+// testHeartbeatInterval is the usual interval of heartbeats.
+const testHeartbeatInterval = 150 * time.Millisecond
 
-// TestChangesDoNotGrowWithTheReplicas: one request more is one entry, at 5,300
-// replicas as at ten, and a round says a fourteenth of the rest again, or a fourth of few:
-// each is said again before the others forget it.
+// TestChangesDoNotGrowWithTheReplicas checks that one more request adds one entry, with
+// 5,300 replicas as with ten. A round resends a fourteenth of the unchanged loads, or a
+// fourth if there are few: each is resent before other hosts drop it.
 func TestChangesDoNotGrowWithTheReplicas(t *testing.T) {
 	const replicas = 5300
-	var told Told
+	var reporter Told
 	var work []*pb.ReplicaLoad
 	for i := range replicas {
 		work = append(work, &pb.ReplicaLoad{Replica: fmt.Sprint("i-", i), Requests: 1})
 	}
-	told.Changes(work, true)
+	reporter.Changes(work, true)
 	work[7] = &pb.ReplicaLoad{Replica: work[7].Replica, Requests: 2}
-	if n := len(told.Changes(work, false)); n != 1 {
+	if n := len(reporter.Changes(work, false)); n != 1 {
 		t.Errorf("%d entries for one request", n)
 	}
-	if n := len(told.Changes(work, true)); n < replicas/18 || n > replicas/11 {
-		t.Errorf("a round says %d entries of %d again", n, replicas)
+	if n := len(reporter.Changes(work, true)); n < replicas/18 || n > replicas/11 {
+		t.Errorf("a round resends %d entries of %d", n, replicas)
 	}
-	if n := len(told.Changes(work[:300], true)) - (replicas - 300); n < 300/5 || n > 300/3 {
-		t.Errorf("a round says %d entries of 300 again", n)
+	if n := len(reporter.Changes(work[:300], true)) - (replicas - 300); n < 300/5 || n > 300/3 {
+		t.Errorf("a round resends %d entries of 300", n)
 	}
-	if maxRounds*testBeat >= loadHold {
-		t.Errorf("what is said again after %v is forgotten after %v", maxRounds*testBeat, loadHold)
+	if maxResendRounds*testHeartbeatInterval >= loadTimeout {
+		t.Errorf("loads resent after %v expire after %v", maxResendRounds*testHeartbeatInterval, loadTimeout)
 	}
 }
--- a/internal/replica/weights.go
+++ b/internal/replica/weights.go
@@ -10,73 +10,73 @@
 	pb "github.com/briarlink/briarlink/api/briarlink/v1"
 )
 
-// wanted is a weights version that operators wanted at a time.
-type wanted struct {
+// wantedVersion is a weights version that operators have named.
+type wantedVersion struct {
 	version int64
-	// since is when a host learned of it, the first as far as is known: it was named
-	// then at the latest.
+	// since is the earliest known time at which a host learned of the version. Operators
+	// named it at that time or earlier.
 	since time.Time
-	// dated means that some host learned of it as one that followed what operators write,
-	// so that since is the time of the naming but for a read's time. Without it the
+	// exactSince is set if some host learned of the version while following the operators'
+	// writes, so that since is the time of naming plus the time of a read. Otherwise the
 	// version may have been named at any time before.
-	dated bool
+	exactSince bool
 }
 
-// join returns what two hosts know of a version together. The earlier time holds: no
-// host learns of a version before it is named, and time that a word spends on its way
-// only makes the version look younger than it was told. Bounds from the other side,
-// before which it cannot have been named, would move on with each word by its time on
-// the way, and hosts that tell each other again and again would lose all of its age.
-func (w wanted) join(other wanted) wanted {
+// merge combines the records that two hosts have of a version. The earlier time wins: no
+// host learns of a version before it is named, and the delay of a report only makes the
+// version look younger than reported. A lower bound, before which it cannot have been
+// named, is not kept: each report would shift it by its delay, and hosts that report to each
+// other again and again would lose all of the age.
+func (w wantedVersion) merge(other wantedVersion) wantedVersion {
 	if other.since.Before(w.since) {
 		w.since = other.since
 	}
-	w.dated = w.dated || other.dated
+	w.exactSince = w.exactSince || other.exactSince
 	return w
 }
 
-// maxWanted bounds the versions remembered of a model. A replica that is further
-// behind counts from the oldest of them.
+// maxWanted limits the versions remembered for each model. A replica that is further behind
+// counts as behind since the oldest of them.
 const maxWanted = 64
 
-// Want takes the weights version that operators have just named for a model.
-// Versions never go back. It reports whether the version is newer than any before.
+// Want records the weights version that operators have just named for a model. Versions
+// never decrease. It reports whether the version is newer than all before.
 func (t *Table) Want(model string, version int64, now time.Time) bool {
-	return t.want(model, wanted{version: version, since: now, dated: true}, false)
+	return t.want(model, wantedVersion{version: version, since: now, exactSince: true}, false)
 }
 
-// Find is Want for a version that was named nobody knows when.
+// Find is Want for a version whose naming time is unknown.
 func (t *Table) Find(model string, version int64, now time.Time) bool {
-	return t.want(model, wanted{version: version, since: now}, false)
+	return t.want(model, wantedVersion{version: version, since: now}, false)
 }
 
-// want takes a version. A record of one that is known, or of an older one, changes
-// nothing: operators may write it twice. Another host's word may tell when it was
-// named, or of one that was overtaken before this host started.
-func (t *Table) want(model string, w wanted, word bool) bool {
+// want records a version. A record of a known or older version changes nothing, as operators
+// may write it twice, unless it was reported by another host: such a report may contain the
+// naming time, or a version that was superseded before this host started.
+func (t *Table) want(model string, w wantedVersion, reported bool) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	versions := t.wanted[model]
-	i, known := slices.BinarySearchFunc(versions, w.version, func(v wanted, version int64) int { return cmp.Compare(v.version, version) })
-	newest := i == len(versions)
-	if !word && !newest {
+	i, known := slices.BinarySearchFunc(versions, w.version, func(v wantedVersion, version int64) int { return cmp.Compare(v.version, version) })
+	isNewest := i == len(versions)
+	if !reported && !isNewest {
 		return false
 	}
 	if known {
-		versions[i] = versions[i].join(w)
+		versions[i] = versions[i].merge(w)
 		return false
 	}
 	versions = slices.Insert(versions, i, w)
 	t.wanted[model] = versions[max(0, len(versions)-maxWanted):]
-	t.lagging.known = false
-	return newest
+	t.outdated.valid = false
+	return isNewest
 }
 
-// HeardNamed takes another host's word of a version and how long ago it was named. It
-// reports whether the version is newer than any before.
+// HeardNamed records another host's report of a version and of its age. It reports whether
+// the version is newer than all before.
 func (t *Table) HeardNamed(w *pb.NamedWeights, now time.Time) bool {
 	age := time.Duration(max(0, w.AgeMs)) * time.Millisecond
-	return t.want(w.Model, wanted{version: w.Version, since: now.Add(-age), dated: true}, true)
+	return t.want(w.Model, wantedVersion{version: w.Version, since: now.Add(-age), exactSince: true}, true)
 }
 
 // Wanted returns the newest wanted version of a model, or 0.
@@ -89,47 +89,48 @@
 	return 0
 }
 
-// serviceModel is a model as a service's servers hold it. Entries of other services,
-// which any writer may make, say nothing of these.
+// serviceModel is a model on the servers of one service. Entries of other services, which
+// any writer may add, say nothing about these servers.
 type serviceModel struct{ service, model string }
 
-// longBehind is for how long a server counts as behind that must not be used, though
-// nobody knows for how long it is.
-const longBehind = 24 * time.Hour
+// assumedBehind is the result of behind for a server that must not be used although it is
+// unknown for how long its weights have been outdated.
+const assumedBehind = 24 * time.Hour
 
-// behind returns how long a version newer than the given one has been wanted. It
-// counts from the first such version: a later one gives a replica no more time.
+// behind returns how long a version newer than the given one has been wanted. It counts from
+// the first such version: a later one gives a replica no more time.
 //
-// Where nobody knows when that one was named, as after the loss of power of a whole
-// fleet, what servers hold tells: loading begins within a fraction of a second of the
-// naming. A version that no server has held was most probably named a moment
-// ago, and all servers are behind: it counts from when this host learned of it, so that
-// they serve until one has loaded it. One that a server of the service has held has
-// been wanted for longer, maybe for hours: those that missed it are not used.
+// If it is unknown when that version was named, for instance after a power loss of the whole
+// fleet, the weights that servers hold decide, since loading begins within a fraction of a
+// second of the naming. A version that no server of the service has held was most likely
+// named a moment ago, and all servers are behind: the time counts from when this host
+// learned of it, so that they serve until one has loaded it. A version that a server of the
+// service has held has been wanted for longer, maybe for hours, and servers without it are
+// not used.
 func (t *Table) behind(service, model string, version int64, now time.Time) time.Duration {
 	first, newer := t.firstNewer(model, version)
 	if !newer {
 		return 0
 	}
-	if !first.dated && t.held[serviceModel{service, model}] >= first.version {
-		return longBehind
+	if !first.exactSince && t.newestHeld[serviceModel{service, model}] >= first.version {
+		return assumedBehind
 	}
 	return now.Sub(first.since)
 }
 
-// firstNewer returns the oldest wanted version of a model that is newer than one that a
-// server holds, where there is any.
-func (t *Table) firstNewer(model string, version int64) (wanted, bool) {
+// firstNewer returns the oldest wanted version of a model that is newer than the given one,
+// if there is any.
+func (t *Table) firstNewer(model string, version int64) (wantedVersion, bool) {
 	for _, w := range t.wanted[model] {
 		if w.version > version {
 			return w, true
 		}
 	}
-	return wanted{}, false
+	return wantedVersion{}, false
 }
 
-// Holds records weights that a server was seen to hold. Late word of older ones changes
-// nothing: see HoldsOlder. It reports whether they are new.
+// Holds records weights that a server was seen to hold. Late reports of older weights are
+// ignored; see HoldsOlder. It reports whether the weights are new.
 func (t *Table) Holds(id, model string, version int64) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -138,46 +139,46 @@
 		return false
 	}
 	t.setWeights(e, model, version)
-	e.loadingUntil, e.unsure = time.Time{}, time.Time{}
+	e.loadingUntil, e.unverifiedUntil = time.Time{}, time.Time{}
 	return true
 }
 
-// HoldsOlder records that a server itself reports older weights than those it was believed
-// to hold, unless something newer was learned meanwhile. It reports whether it did.
-func (t *Table) HoldsOlder(id, model string, believed, version int64) bool {
+// HoldsOlder records that a server itself reports older weights than it was assumed to hold,
+// unless its record has changed since. It reports whether the record was updated.
+func (t *Table) HoldsOlder(id, model string, assumed, version int64) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.entries[id]
-	if e == nil || e.weights[model] != believed {
+	if e == nil || e.weights[model] != assumed {
 		return false
 	}
 	e.weights[model] = version
-	t.lagging.known = false
-	e.loadingUntil, e.unsure = time.Time{}, time.Time{}
+	t.outdated.valid = false
+	e.loadingUntil, e.unverifiedUntil = time.Time{}, time.Time{}
 	return true
 }
 
 // setWeights records that a server holds a version of a model.
 func (t *Table) setWeights(e *entry, model string, version int64) {
 	e.weights[model] = max(e.weights[model], version)
-	t.lagging.known = false
+	t.outdated.valid = false
 	key := serviceModel{e.reg.Service, model}
-	t.held[key] = max(t.held[key], version)
+	t.newestHeld[key] = max(t.newestHeld[key], version)
 }
 
-// Loading records that a server is being ordered to load weights. Until then it
-// is given no requests, unless it is seen to hold the weights before. Late word
-// of a server that holds the wanted weights already changes nothing.
+// Loading records that a server is being commanded to load weights. It gets no requests
+// until the given time, unless it is seen to hold the weights before. Late reports about a
+// server that already holds the wanted weights are ignored.
 func (t *Table) Loading(id string, until time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if e := t.entries[id]; e != nil && t.lacks(e) {
+	if e := t.entries[id]; e != nil && t.isOutdated(e) {
 		e.loadingUntil = until
 	}
 }
 
-// lacks reports whether a server holds older weights than wanted.
-func (t *Table) lacks(e *entry) bool {
+// isOutdated reports whether a server holds older weights than wanted.
+func (t *Table) isOutdated(e *entry) bool {
 	for model, version := range e.weights {
 		if versions := t.wanted[model]; len(versions) > 0 && versions[len(versions)-1].version > version {
 			return true
@@ -186,27 +187,27 @@
 	return false
 }
 
-// unsureFor is how long a server that refused the weights it was believed to hold
-// gets no requests, unless its own report tells before: reports are some hundred
+// unverifiedTimeout is how long a server that refused the weights it was assumed to hold
+// gets no requests, unless its own report arrives earlier: reports are a few hundred
 // milliseconds old.
-const unsureFor = time.Second
+const unverifiedTimeout = time.Second
 
-// MarkUnsure records that a server refused a request for weights that it was believed to
-// hold. Without a word of what it holds it would refuse every further request.
+// MarkUnsure records that a server refused a request for weights that it was assumed to
+// hold. Until it reports which weights it holds, it would refuse every further request.
 func (t *Table) MarkUnsure(id, model string, version int64, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.entries[id]
-	if e == nil || e.weights[model] != version || now.Before(e.unsure) {
+	if e == nil || e.weights[model] != version || now.Before(e.unverifiedUntil) {
 		return
 	}
-	e.unsure = now.Add(unsureFor)
-	t.keep(t.active, e)
-	e.loadingUntil = e.unsure
+	e.unverifiedUntil = now.Add(unverifiedTimeout)
+	t.track(t.active, e)
+	e.loadingUntil = e.unverifiedUntil
 	t.log.WithFields(logrus.Fields{"replica": id, "weights": weightsText(model, version)}).Info("replica holds other weights than believed")
 }
 
-// Unsure returns the servers that are to be asked for their weights, by ID.
+// Unsure returns the servers to ask which weights they hold, ordered by ID.
 func (t *Table) Unsure(now time.Time) []Server {
-	return t.servers(t.active, now, func(e *entry) bool { return now.Before(e.unsure) })
+	return t.servers(t.active, now, func(e *entry) bool { return now.Before(e.unverifiedUntil) })
 }
