--- a/internal/quarantine/digest.go
+++ b/internal/quarantine/digest.go
@@ -7,9 +7,9 @@
 	"github.com/zeebo/xxh3"
 )
 
-// Digest is equal for attempts at the same request: the same organisation sends the same
-// method, host, target and body. What differs between attempts, such as their ID and the
-// time that is left, is no part of it.
+// Digest identifies a request: attempts have the same digest if the same organisation sends
+// the same method, host, target and body. What differs between attempts, such as their ID
+// and the remaining time, is not part of it.
 type Digest uint64
 
 // String returns the digest for logs.
@@ -19,7 +19,7 @@
 func DigestOf(organisation, method, host, target string, body []byte) Digest {
 	h := xxh3.New()
 	for _, field := range []string{organisation, method, host, target} {
-		// A hash takes every byte and never fails; the zero byte keeps fields apart.
+		// Writes to a hash never fail; the zero byte separates the fields.
 		_, _ = h.WriteString(field)
 		_, _ = h.Write([]byte{0})
 	}
--- a/internal/quarantine/digest_test.go
+++ b/internal/quarantine/digest_test.go
@@ -2,9 +2,10 @@
 
 import "testing"
 
-// Two attempts are the same request only where everything that a server would run is
-// the same; fields that run into each other are not.
-func TestDigestTellsRequestsApart(t *testing.T) {
+// TestDigestDistinguishesRequests checks that two attempts have the same digest only if
+// everything that a server would run is the same. Moving a byte from one field to the next
+// must change the digest.
+func TestDigestDistinguishesRequests(t *testing.T) {
 	base := DigestOf("museum", "POST", "a.example", "/ask/1", []byte("body"))
 	if base != DigestOf("museum", "POST", "a.example", "/ask/1", []byte("body")) {
 		t.Error("the same request has two digests")
--- a/internal/quarantine/save.go
+++ b/internal/quarantine/save.go
@@ -8,29 +8,30 @@
 	"github.com/briarlink/briarlink/platform"
 )
 
-// keepFrom is the number of crashes under a request from which the store keeps them: hosts
-// that lose power together before the last one that is reason to refuse it must not begin
-// anew. Most of the requests that were beside it have fewer.
-const keepFrom = 2
+// minSavedCrashes is the number of crashes of a request from which they are saved in the
+// store, so that hosts which lose power together before the last crash that leads to a
+// refusal don't start counting again. Most requests that only ran beside the cause have
+// fewer.
+const minSavedCrashes = 2
 
-// Unsaved returns what is to be kept in the store, or removed from it, by this host: a
-// fleet that loses power would otherwise let as many servers crash as before.
+// Unsaved returns the records that this host is to write to the store or remove from it.
+// Without them, a fleet that lost power would let as many servers crash as before.
 func (t *Table) Unsaved() []platform.QuarantineRecord {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var out []platform.QuarantineRecord
+	var records []platform.QuarantineRecord
 	for _, d := range slices.Sorted(maps.Keys(t.unsaved)) {
-		out = append(out, t.toKeep(d))
+		records = append(records, t.storeRecord(d))
 	}
-	return out
+	return records
 }
 
-// toKeep returns what the store is to hold of a request: nothing while one crash may be put
-// down to many others.
-func (t *Table) toKeep(d Digest) platform.QuarantineRecord {
+// storeRecord returns the record of a request for the store. It is empty while the request
+// has so few crashes that each may have been caused by many others.
+func (t *Table) storeRecord(d Digest) platform.QuarantineRecord {
 	q := platform.QuarantineRecord{Digest: uint64(d)}
 	r := t.records[d]
-	if r == nil || len(r.crashes) < keepFrom {
+	if r == nil || len(r.crashes) < minSavedCrashes {
 		return q
 	}
 	for server, at := range r.crashes {
@@ -39,50 +40,50 @@
 	return q
 }
 
-// Saved records that the store has taken a record of a request. What was seen meanwhile is
-// still to be kept.
+// Saved records that the store has accepted a record. If more has been observed meanwhile,
+// the request remains unsaved.
 func (t *Table) Saved(q platform.QuarantineRecord) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	d := Digest(q.Digest)
 	delete(t.unsaved, d)
-	if len(t.toKeep(d).Crashes) != len(q.Crashes) {
-		t.unsave(d)
+	if len(t.storeRecord(d).Crashes) != len(q.Crashes) {
+		t.markUnsaved(d)
 	}
 }
 
-// Load takes a record of the store, and reports whether it is too old to matter. The time
-// of day may differ between hosts, and jump: no crash is taken for a later one than now.
-func (t *Table) Load(q platform.QuarantineRecord, now time.Time) (old bool) {
+// Load applies a record from the store, and reports whether it has expired. Clocks may
+// differ between hosts, and jump: a crash time in the future counts as now.
+func (t *Table) Load(q platform.QuarantineRecord, now time.Time) (expired bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	old = len(q.Crashes) > 0
+	expired = len(q.Crashes) > 0
 	for _, c := range q.Crashes {
 		age := max(0, now.Sub(time.UnixMilli(c.AtMs)))
-		if age < forgetAfter {
+		if age < crashRetention {
 			t.add(Digest(q.Digest), Server(c.Server), now.Add(-age), now)
-			old = false
+			expired = false
 		}
 	}
-	return old
+	return expired
 }
 
-// Remove has this host remove a request's record from the store.
+// Remove makes this host remove a request's record from the store.
 func (t *Table) Remove(d Digest) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.unsave(d)
+	t.markUnsaved(d)
 }
 
-// save has this host keep what is known of a request in the store. Only those hosts do that
-// have just seen a crash under it, or an answer.
-func (t *Table) save(d Digest) {
-	if t.fresh[d] != nil {
-		t.unsave(d)
+// markUnsavedIfObserved makes this host save a request's record if it has itself just
+// observed a crash of the request or an answer to it. Other hosts save nothing.
+func (t *Table) markUnsavedIfObserved(d Digest) {
+	if t.updates[d] != nil {
+		t.markUnsaved(d)
 	}
 }
 
-func (t *Table) unsave(d Digest) {
+func (t *Table) markUnsaved(d Digest) {
 	t.unsaved[d] = true
 	select {
 	case t.Dirty <- struct{}{}:
--- a/internal/quarantine/save_test.go
+++ b/internal/quarantine/save_test.go
@@ -6,8 +6,8 @@
 	"github.com/briarlink/briarlink/platform"
 )
 
-// kept returns a record as the store gives it back.
-func kept(t *testing.T, q platform.QuarantineRecord) platform.QuarantineRecord {
+// storeRoundTrip returns a record as it is read back from the store.
+func storeRoundTrip(t *testing.T, q platform.QuarantineRecord) platform.QuarantineRecord {
 	t.Helper()
 	out, ok, err := platform.DecodeQuarantine(q.Encode())
 	if !ok || err != nil {
@@ -16,35 +16,35 @@
 	return out
 }
 
-// TestCrashesAreKept: a host that sees the second crash under a request keeps both in the
-// store, and the third; one that starts with nothing else adds to them; the first answer
-// takes them out again. Hosts that were only told write nothing.
-func TestCrashesAreKept(t *testing.T) {
-	seer, told := newTable(), newTable()
+// TestCrashesAreSaved checks that a host which observes the second crash of a request saves
+// both, and then the third; that a host which starts from the store alone adds to them; and
+// that the first answer removes them. Hosts that only receive reports save nothing.
+func TestCrashesAreSaved(t *testing.T) {
+	observer, receiver := newTable(), newTable()
 	var record platform.QuarantineRecord
 	for i, want := range []int{0, 2, 3} {
-		seer.Crashed(Server(10+i), []Digest{poison, innocent + Digest(i)}, at(float64(i)))
-		told.Heard(seer.Changes(at(float64(i)), true), at(float64(i)))
-		unsaved := seer.Unsaved()
+		observer.Crashed(Server(10+i), []Digest{poison, innocent + Digest(i)}, at(float64(i)))
+		receiver.Heard(observer.Changes(at(float64(i)), true), at(float64(i)))
+		unsaved := observer.Unsaved()
 		if want == 0 && len(unsaved) == 0 {
 			continue
 		}
-		if len(unsaved) != 1 || len(seer.Dirty) != 1 {
-			t.Fatalf("after %d crashes: %d records to be kept", i+1, len(unsaved))
+		if len(unsaved) != 1 || len(observer.Dirty) != 1 {
+			t.Fatalf("after %d crashes: %d unsaved records", i+1, len(unsaved))
 		}
-		<-seer.Dirty
-		record = kept(t, unsaved[0])
-		seer.Saved(unsaved[0])
-		if len(record.Crashes) != want || len(seer.Unsaved()) != 0 {
-			t.Errorf("after %d crashes: %d kept", i+1, len(record.Crashes))
+		<-observer.Dirty
+		record = storeRoundTrip(t, unsaved[0])
+		observer.Saved(unsaved[0])
+		if len(record.Crashes) != want || len(observer.Unsaved()) != 0 {
+			t.Errorf("after %d crashes: %d saved", i+1, len(record.Crashes))
 		}
 		started := newTable()
-		if old := started.Load(record, at(5)); old || (started.Refused(poison, at(5)) > 0) != (want == maxCrashes) {
-			t.Errorf("a started host takes %d kept crashes for old, or for another number", want)
+		if expired := started.Load(record, at(5)); expired || (started.Refused(poison, at(5)) > 0) != (want == maxCrashes) {
+			t.Errorf("a started host treats %d saved crashes as expired or as another number", want)
 		}
 	}
-	if told.Count(at(3)) != 1 || len(told.Unsaved()) != 0 {
-		t.Error("a host that was told writes too, or does not refuse")
+	if receiver.Count(at(3)) != 1 || len(receiver.Unsaved()) != 0 {
+		t.Error("a host that only received reports saves them too, or does not refuse the request")
 	}
 	started := newTable()
 	started.Load(record, at(5))
@@ -53,17 +53,17 @@
 	if len(cleared) != 1 || !cleared[0].Encode().Removed {
 		t.Errorf("after an answer: %+v", cleared)
 	}
-	if old := newTable().Load(kept(t, cleared[0]), at(7)); old {
-		t.Error("a removal is taken for an old record")
+	if expired := newTable().Load(storeRoundTrip(t, cleared[0]), at(7)); expired {
+		t.Error("a removal is treated as an expired record")
 	}
-	if old := newTable().Load(record, at(4).Add(forgetAfter)); !old {
-		t.Error("an old record is not told apart")
+	if expired := newTable().Load(record, at(4).Add(crashRetention)); !expired {
+		t.Error("an expired record is not recognised")
 	}
 }
 
-// TestWhatIsSeenWhileTheStoreIsWrittenIsKept: the third crash comes while the first two are
-// on their way to the store.
-func TestWhatIsSeenWhileTheStoreIsWrittenIsKept(t *testing.T) {
+// TestCrashesDuringStoreWriteAreSaved checks a third crash that is observed while the first
+// two are being written to the store.
+func TestCrashesDuringStoreWriteAreSaved(t *testing.T) {
 	table := newTable()
 	table.Crashed(10, []Digest{poison}, at(0))
 	table.Crashed(11, []Digest{poison}, at(1))
@@ -71,20 +71,21 @@
 	table.Crashed(12, []Digest{poison}, at(2))
 	table.Saved(written)
 	if left := table.Unsaved(); len(left) != 1 || len(left[0].Crashes) != 3 || len(table.Dirty) != 1 {
-		t.Errorf("still to be kept: %+v", left)
+		t.Errorf("still unsaved: %+v", left)
 	}
 }
 
-// TestClocksOfOtherHostsMayBeWrong: crashes that lie ahead by this host's clock count as of
-// now, so that a request is not refused for longer than holdFor from here on.
-func TestClocksOfOtherHostsMayBeWrong(t *testing.T) {
+// TestFutureCrashTimesCountAsNow checks that crashes which lie ahead of this host's clock
+// count as of now, so that a request is not refused for longer than refusalDuration from now
+// on.
+func TestFutureCrashTimesCountAsNow(t *testing.T) {
 	table := newTable()
 	q := platform.QuarantineRecord{Digest: uint64(poison)}
 	for i := range 3 {
 		q.Crashes = append(q.Crashes, platform.CrashRecord{Server: uint64(10 + i), AtMs: at(3600).UnixMilli()})
 	}
 	table.Load(q, at(0))
-	if table.Refused(poison, at(0)) == 0 || table.Refused(poison, at(0).Add(holdFor)) != 0 {
-		t.Error("refused for another time than holdFor")
+	if table.Refused(poison, at(0)) == 0 || table.Refused(poison, at(0).Add(refusalDuration)) != 0 {
+		t.Error("refused for another time than refusalDuration")
 	}
 }
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -9,69 +9,69 @@
 )
 
 const (
-	// maxCrashes is the number of servers that may crash under a request before it is
-	// refused: others that were running beside it are blamed with it the first time, rarely
-	// the second.
+	// maxCrashes is the number of crashes from which a request is refused. Requests that
+	// were running beside the cause are counted with it the first time, rarely the second.
 	maxCrashes = 3
-	// holdFor is how long a request is refused after the last crash under it. Then one
-	// crash more is enough: what was mended meanwhile is served again, and what was not
-	// costs a server in ten minutes.
-	holdFor = 10 * time.Minute
-	// forgetAfter is how long a crash is remembered.
-	forgetAfter = time.Hour
-	// maxRecords bounds the requests that are remembered, some 200 bytes each.
+	// refusalDuration is how long a request is refused after its last crash. After that, a
+	// single further crash is enough: a request whose fault has been fixed is served again,
+	// and any other costs one server in ten minutes.
+	refusalDuration = 10 * time.Minute
+	// crashRetention is how long a crash is remembered.
+	crashRetention = time.Hour
+	// maxRecords limits the remembered requests, at about 200 bytes each.
 	maxRecords = 1024
-	// maxPerRecord bounds the crashes that are remembered of one request.
+	// maxPerRecord limits the crashes that are remembered for each request.
 	maxPerRecord = 8
 )
 
-// Server names one start of a backend server.
+// Server identifies one incarnation of a backend server.
 type Server uint64
 
-// ServerOf returns the name of a server's start; started is as in platform.Registration.
+// ServerOf returns the identifier of a server's incarnation; started is as in
+// platform.Registration.
 func ServerOf(id string, started int64) Server {
 	return Server(xxh3.HashStringSeed(id, uint64(started)))
 }
 
-// record is what is known of one request.
+// record is what this host has recorded about one request.
 type record struct {
-	// crashes holds when servers crashed that were running it.
+	// crashes holds the crash times of the servers that were running the request.
 	crashes map[Server]time.Time
-	// answered is when a server last answered it whole, or zero: whatever crashed before
-	// that, crashed under another request.
+	// answered is when a server last answered the request completely, or zero: earlier
+	// crashes were caused by another request.
 	answered time.Time
-	// refusing is set while a line of the log says that the request is refused.
+	// refusing is set while the log says that the request is refused.
 	refusing bool
 }
 
-// Table holds the requests under which backend servers crashed, as far as this host has
-// seen or was told. It is safe for concurrent use; mu is its only lock.
+// Table holds the requests that were running when backend servers crashed, as observed by
+// this host or reported by others. It is safe for concurrent use; mu is its only lock.
 type Table struct {
 	log *logrus.Logger
-	// Dirty holds an element while something is to be kept in the store.
+	// Dirty holds an element while there are unsaved records.
 	Dirty chan struct{}
 
 	mu      sync.Mutex
 	records map[Digest]*record
-	// fresh holds since when something is to be told of a request, and cursor the refused
-	// request that was told again last.
-	fresh  map[Digest]*news
-	cursor Digest
-	// unsaved are the requests of which the store does not know what this host does.
+	// updates holds the requests with updates to report, and cursor the refused request that
+	// was resent last.
+	updates map[Digest]*update
+	cursor  Digest
+	// unsaved are the requests whose record in the store is outdated.
 	unsaved map[Digest]bool
-	// underWay are the attempts that end once their request is refused.
-	underWay map[Digest]map[*attempt]bool
+	// inFlight holds the attempts to cancel once their request is refused.
+	inFlight map[Digest]map[*attempt]bool
 }
 
-// attempt is one that is under way.
-type attempt struct{ end func() }
+// attempt is an attempt in flight.
+type attempt struct{ cancel func() }
 
 // NewTable returns an empty table.
 func NewTable(log *logrus.Logger) *Table {
 	return &Table{
 		log: log, Dirty: make(chan struct{}, 1),
-		records: map[Digest]*record{}, fresh: map[Digest]*news{}, unsaved: map[Digest]bool{},
-		underWay: map[Digest]map[*attempt]bool{},
+		records: map[Digest]*record{}, updates: map[Digest]*update{}, unsaved: map[Digest]bool{},
+		inFlight: map[Digest]map[*attempt]bool{},
 	}
 }
 
@@ -80,12 +80,12 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, d := range requests {
-		t.fresh[d] = &news{since: now}
+		t.updates[d] = &update{observedAt: now}
 		t.add(d, server, now, now)
 	}
 }
 
-// Answered records that a server has answered a request whole.
+// Answered records that a server has answered a request completely.
 func (t *Table) Answered(d Digest, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -93,12 +93,12 @@
 	if r == nil || len(r.crashes) == 0 {
 		return
 	}
-	t.fresh[d] = &news{since: now}
+	t.updates[d] = &update{observedAt: now}
 	t.clear(d, r, now)
 }
 
-// Refused returns how many servers crashed under a request that must not be sent to
-// another one, or 0 when it may be.
+// Refused returns the number of crashes attributed to a request if it must not be sent to
+// another server, or else 0.
 func (t *Table) Refused(d Digest, now time.Time) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -107,26 +107,26 @@
 		return 0
 	}
 	n := t.refused(d, r, now)
-	t.note(d, r, n)
+	t.setRefusing(d, r, n)
 	return n
 }
 
-// OnRefused calls end, which must not block, once a request is refused, unless stop was
-// called before: attempts that wait at servers for their turn would crash these too.
-func (t *Table) OnRefused(d Digest, end func()) (stop func()) {
-	a := &attempt{end}
+// OnRefused calls cancel, which must not block, once a request is refused, unless stop was
+// called before: attempts that are queued at other servers would crash these too.
+func (t *Table) OnRefused(d Digest, cancel func()) (stop func()) {
+	running := &attempt{cancel}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.underWay[d] == nil {
-		t.underWay[d] = map[*attempt]bool{}
+	if t.inFlight[d] == nil {
+		t.inFlight[d] = map[*attempt]bool{}
 	}
-	t.underWay[d][a] = true
+	t.inFlight[d][running] = true
 	return func() {
 		t.mu.Lock()
 		defer t.mu.Unlock()
-		delete(t.underWay[d], a)
-		if len(t.underWay[d]) == 0 {
-			delete(t.underWay, d)
+		delete(t.inFlight[d], running)
+		if len(t.inFlight[d]) == 0 {
+			delete(t.inFlight, d)
 		}
 	}
 }
@@ -144,8 +144,8 @@
 	return n
 }
 
-// refused returns how many servers' crashes are put down to a request, or 0 while they
-// are no reason to refuse it.
+// refused returns the number of crashes attributed to a request if it is to be refused, or
+// else 0.
 func (t *Table) refused(d Digest, r *record, now time.Time) int {
 	newest := time.Time{}
 	for _, at := range r.crashes {
@@ -153,31 +153,31 @@
 			newest = at
 		}
 	}
-	if len(r.crashes) < maxCrashes || now.Sub(newest) >= holdFor {
+	if len(r.crashes) < maxCrashes || now.Sub(newest) >= refusalDuration {
 		return 0
 	}
-	if n := t.blamed(d, r); n >= maxCrashes {
+	if n := t.attributedCrashes(d, r); n >= maxCrashes {
 		return n
 	}
 	return 0
 }
 
-// blamed returns how many crashes no other request explains better. A server runs many
-// requests when it crashes; one that crashed several others is the cause, and those beside
-// it are not.
-func (t *Table) blamed(d Digest, r *record) int {
+// attributedCrashes returns the number of a request's crashes that no other request explains
+// better. A server runs many requests when it crashes: a request that crashed several other
+// servers is the cause, and those running beside it are not.
+func (t *Table) attributedCrashes(d Digest, r *record) int {
 	n := 0
 	for server := range r.crashes {
-		if !t.explained(d, server, len(r.crashes)) {
+		if !t.explainedByAnother(d, server, len(r.crashes)) {
 			n++
 		}
 	}
 	return n
 }
 
-// explained reports whether another request with more crashes was running on a server
-// when it crashed.
-func (t *Table) explained(d Digest, server Server, crashes int) bool {
+// explainedByAnother reports whether another request with more crashes was running on a
+// server when it crashed.
+func (t *Table) explainedByAnother(d Digest, server Server, crashes int) bool {
 	for other, r := range t.records {
 		if _, ran := r.crashes[server]; ran && other != d && len(r.crashes) > crashes {
 			return true
@@ -186,8 +186,9 @@
 	return false
 }
 
-// note writes a line when a request begins to be refused, or no longer is.
-func (t *Table) note(d Digest, r *record, crashes int) {
+// setRefusing logs when the refusal of a request begins or ends, and cancels its attempts in
+// flight when it begins.
+func (t *Table) setRefusing(d Digest, r *record, crashes int) {
 	refusing := crashes > 0
 	if refusing == r.refusing {
 		return
@@ -195,19 +196,19 @@
 	r.refusing = refusing
 	if refusing {
 		t.log.WithFields(logrus.Fields{"digest": d.String(), "crashes": crashes}).Warn("request refused from now on: servers crash under it")
-		for a := range t.underWay[d] {
-			a.end()
+		for a := range t.inFlight[d] {
+			a.cancel()
 		}
 	} else {
 		t.log.WithField("digest", d.String()).Info("request is let in again")
 	}
 }
 
-// add remembers a crash, and reports whether it was not known.
+// add records a crash, and reports whether it is new.
 func (t *Table) add(d Digest, server Server, at, now time.Time) bool {
 	r := t.records[d]
 	if r == nil {
-		t.makeRoom(now)
+		t.evictIfFull(now)
 		r = &record{crashes: map[Server]time.Time{}}
 		t.records[d] = r
 	}
@@ -215,84 +216,84 @@
 		return false
 	}
 	if len(r.crashes) >= maxPerRecord {
-		delete(r.crashes, oldest(r.crashes))
+		delete(r.crashes, oldestCrash(r.crashes))
 	}
 	r.crashes[server] = at
-	if n := len(r.crashes); n >= keepFrom && n <= maxCrashes {
-		t.save(d)
+	if n := len(r.crashes); n >= minSavedCrashes && n <= maxCrashes {
+		t.markUnsavedIfObserved(d)
 	}
-	t.note(d, r, t.refused(d, r, now))
+	t.setRefusing(d, r, t.refused(d, r, now))
 	return true
 }
 
-// clear drops the crashes up to a whole answer.
+// clear drops the crashes up to a complete answer.
 func (t *Table) clear(d Digest, r *record, answered time.Time) {
 	if !answered.After(r.answered) {
 		return
 	}
 	r.answered = answered
-	if len(r.crashes) >= keepFrom {
-		t.save(d)
+	if len(r.crashes) >= minSavedCrashes {
+		t.markUnsavedIfObserved(d)
 	}
 	for server, at := range r.crashes {
 		if !at.After(answered) {
 			delete(r.crashes, server)
 		}
 	}
-	t.note(d, r, 0)
+	t.setRefusing(d, r, 0)
 }
 
-func oldest(crashes map[Server]time.Time) Server {
-	var first Server
+func oldestCrash(crashes map[Server]time.Time) Server {
+	var oldest Server
 	for server, at := range crashes {
-		if first == 0 || at.Before(crashes[first]) {
-			first = server
+		if oldest == 0 || at.Before(crashes[oldest]) {
+			oldest = server
 		}
 	}
-	return first
+	return oldest
 }
 
-// Expire forgets what is old.
+// Expire drops expired crashes, records and updates.
 func (t *Table) Expire(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for d, r := range t.records {
 		for server, at := range r.crashes {
-			if now.Sub(at) >= forgetAfter {
+			if now.Sub(at) >= crashRetention {
 				delete(r.crashes, server)
 			}
 		}
-		if len(r.crashes) == 0 && now.Sub(r.answered) >= tellFor {
+		if len(r.crashes) == 0 && now.Sub(r.answered) >= reportDuration {
 			delete(t.records, d)
 		}
 	}
-	for d, n := range t.fresh {
-		if now.Sub(n.since) >= tellFor {
-			delete(t.fresh, d)
+	for d, u := range t.updates {
+		if now.Sub(u.observedAt) >= reportDuration {
+			delete(t.updates, d)
 		}
 	}
 }
 
-// makeRoom drops a request with the fewest crashes, the oldest of them, where the table
-// is full: that of a request which a hundred thousand others came after is worth less than
-// one that crashes servers.
-func (t *Table) makeRoom(now time.Time) {
+// evictIfFull drops the request with the fewest crashes if the table is full, and among
+// several the one with the oldest crash: a request that a hundred thousand others followed
+// matters less than one that crashes servers.
+func (t *Table) evictIfFull(now time.Time) {
 	if len(t.records) < maxRecords {
 		return
 	}
-	var least Digest
-	var leastCrashes int
-	var leastAt time.Time
+	var victim Digest
+	var victimCrashes int
+	var victimAt time.Time
 	for d, r := range t.records {
 		at := now
-		if server := oldest(r.crashes); server != 0 {
+		if server := oldestCrash(r.crashes); server != 0 {
 			at = r.crashes[server]
 		}
 		n := len(r.crashes)
-		if least == 0 || n < leastCrashes || n == leastCrashes && at.Before(leastAt) {
-			least, leastCrashes, leastAt = d, n, at
+		if victim == 0 || n < victimCrashes || n == victimCrashes && at.Before(victimAt) {
+			victim, victimCrashes, victimAt = d, n, at
 		}
 	}
-	delete(t.records, least)
-	delete(t.fresh, least)
+	delete(t.records, victim)
+	delete(t.updates, victim)
 }
--- a/internal/quarantine/table_test.go
+++ b/internal/quarantine/table_test.go
@@ -11,7 +11,7 @@
 	_ "github.com/briarlink/briarlink/test/fixedseed"
 )
 
-// start is when these tests' own time begins.
+// start is the beginning of the simulated time.
 var start = time.Unix(1_000_000, 0)
 
 const poison, innocent = Digest(1), Digest(2)
@@ -24,41 +24,42 @@
 
 func at(seconds float64) time.Time { return start.Add(time.Duration(seconds * float64(time.Second))) }
 
-// TestCrashesSeenByDifferentHostsAdd: the third crash under a request may be the first that
-// each of three hosts sees. One server's end counts once, however many hosts and attempts
-// saw it.
+// TestCrashesSeenByDifferentHostsAdd checks that crashes add up if each of three hosts has
+// observed one of them, and that the end of one server counts once, however many hosts and
+// attempts observed it.
 func TestCrashesSeenByDifferentHostsAdd(t *testing.T) {
 	hosts := []*Table{newTable(), newTable(), newTable()}
 	for i, h := range hosts {
 		h.Crashed(Server(10+i), []Digest{poison}, at(float64(i)))
 		h.Crashed(Server(10), []Digest{poison}, at(float64(i)))
 		if n := h.Refused(poison, at(3)); n != 0 {
-			t.Fatalf("refused after what one host saw: %d", n)
+			t.Fatalf("refused after the crashes that one host observed: %d", n)
 		}
 	}
 	for _, from := range hosts {
-		told := from.Changes(at(3), false)
+		reports := from.Changes(at(3), false)
 		for _, to := range hosts {
-			to.Heard(told, at(3))
+			to.Heard(reports, at(3))
 		}
 	}
 	for i, h := range hosts {
 		if n := h.Refused(poison, at(3)); n != 3 {
-			t.Errorf("host %d puts %d crashes down to the request, want 3", i, n)
+			t.Errorf("host %d attributes %d crashes to the request, want 3", i, n)
 		}
 	}
 }
 
-// TestRequestsBesideAPoisonOneAreServed: a server runs many requests when it crashes, and
-// some meet such a request again and again. An answer to one of them clears it on every
-// host, and what the poison one explains isn't put down to another.
-func TestRequestsBesideAPoisonOneAreServed(t *testing.T) {
+// TestRequestsRunningWithAPoisonRequestAreServed checks requests that were running, maybe
+// repeatedly, beside a poison request when servers crashed. An answer to such a request
+// clears it on every host, and crashes that the poison request explains do not count against
+// it.
+func TestRequestsRunningWithAPoisonRequestAreServed(t *testing.T) {
 	a, b := newTable(), newTable()
 	for i := range 3 {
 		a.Crashed(Server(10+i), []Digest{poison, innocent}, at(float64(i)))
 	}
 	if a.Refused(poison, at(3)) == 0 {
-		t.Error("the poison request is let in")
+		t.Error("the poison request is admitted")
 	}
 	b.Heard(a.Changes(at(3), true), at(3))
 	a.Answered(innocent, at(4))
@@ -67,7 +68,7 @@
 	}
 	b.Heard(a.Changes(at(4), true), at(4))
 	if b.Refused(innocent, at(4)) != 0 || b.Refused(poison, at(4)) == 0 {
-		t.Error("the word of an answer changed nothing, or too much")
+		t.Error("the report of an answer changed nothing, or too much")
 	}
 	c := newTable()
 	for i := range 4 {
@@ -81,30 +82,32 @@
 	}
 }
 
-// TestRequestIsTriedAgainAfterAWhile: a request that was refused for ten minutes may be
-// mended, or its servers; one more crash refuses it anew.
-func TestRequestIsTriedAgainAfterAWhile(t *testing.T) {
+// TestRefusalExpires checks that a request is served again ten minutes after its last crash,
+// as the request or its servers may have been fixed, and that one more crash refuses it
+// again.
+func TestRefusalExpires(t *testing.T) {
 	table := newTable()
 	for i := range 3 {
 		table.Crashed(Server(10+i), []Digest{poison}, at(float64(i)))
 	}
-	later := at(2).Add(holdFor)
+	later := at(2).Add(refusalDuration)
 	if table.Refused(poison, later.Add(-time.Millisecond)) == 0 || table.Refused(poison, later) != 0 {
-		t.Error("not refused for holdFor after the last crash")
+		t.Error("not refused for refusalDuration after the last crash")
 	}
 	table.Crashed(Server(20), []Digest{poison}, later)
 	if table.Refused(poison, later) == 0 {
-		t.Error("let in after another crash")
+		t.Error("admitted after another crash")
 	}
-	table.Expire(later.Add(forgetAfter))
+	table.Expire(later.Add(crashRetention))
 	if len(table.records) != 0 {
-		t.Error("remembered for ever")
+		t.Error("not dropped after crashRetention")
 	}
 }
 
-// TestStartedHostIsTold: a host that knows nothing hears of every refused request within
-// a second of heartbeats, whatever else has crashed lately.
-func TestStartedHostIsTold(t *testing.T) {
+// TestStartedHostReceivesRefusals checks that a host that starts without records receives
+// every refused request within a second of heartbeats, however many other crashes are
+// recent.
+func TestStartedHostReceivesRefusals(t *testing.T) {
 	informed, started := newTable(), newTable()
 	const refused = 8
 	for d := range Digest(refused) {
@@ -118,12 +121,12 @@
 		started.Heard(informed.Changes(now, true), now)
 	}
 	if n := started.Count(now); n != refused {
-		t.Errorf("%d of %d refused requests known", n, refused)
+		t.Errorf("%d of %d refused requests received", n, refused)
 	}
 }
 
-// TestMemoryIsBounded: however many requests servers crash under, as many are remembered as
-// there is room for, and those with most crashes outlast the others.
+// TestMemoryIsBounded checks the limits of the table, and that the requests with the most
+// crashes outlast the others.
 func TestMemoryIsBounded(t *testing.T) {
 	table := newTable()
 	for i := range 2 * maxPerRecord {
@@ -136,17 +139,18 @@
 		t.Errorf("%d requests, %d crashes of one", len(table.records), len(table.records[poison].crashes))
 	}
 	if table.Refused(poison, at(30)) == 0 {
-		t.Error("the request with most crashes was forgotten")
+		t.Error("the request with the most crashes was dropped")
 	}
 }
 
-// mostLost is how many heartbeats in a row may be lost between two hosts.
-const mostLost = 4
+// maxConsecutiveLosses is how many heartbeats in a row may be lost between two hosts.
+const maxConsecutiveLosses = 4
 
-// TestHostsAgreeWhateverIsLost: crashes and answers on several hosts, with heartbeats lost,
-// up to four in a row between two hosts. A second after the last of it every host refuses
-// what all crashes together are reason for, and nothing that was answered since.
-func TestHostsAgreeWhateverIsLost(t *testing.T) {
+// TestHostsConvergeDespiteLostHeartbeats simulates crashes and answers on several hosts,
+// with up to four heartbeats in a row lost between two hosts. A second after the last of
+// them, every host refuses the requests that all crashes together give reason to refuse, and
+// none that was answered since.
+func TestHostsConvergeDespiteLostHeartbeats(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		hosts := make([]*Table, rapid.IntRange(2, 6).Draw(t, "hosts"))
 		for i := range hosts {
@@ -154,9 +158,9 @@
 		}
 		now := start
 		lost := map[[2]int]int{}
-		arrives := func(from, to int) bool {
+		delivered := func(from, to int) bool {
 			link := [2]int{from, to}
-			if lost[link] < mostLost && rapid.IntRange(0, 4).Draw(t, "loss") > 2 {
+			if lost[link] < maxConsecutiveLosses && rapid.IntRange(0, 4).Draw(t, "loss") > 2 {
 				lost[link]++
 				return false
 			}
@@ -166,10 +170,10 @@
 		exchange := func(lossy bool) {
 			now = now.Add(150 * time.Millisecond)
 			for i, from := range hosts {
-				told := from.Changes(now, true)
+				reports := from.Changes(now, true)
 				for j, to := range hosts {
-					if i != j && (!lossy || arrives(i, j)) {
-						to.Heard(told, now)
+					if i != j && (!lossy || delivered(i, j)) {
+						to.Heard(reports, now)
 					}
 				}
 			}
@@ -179,7 +183,7 @@
 			host := rapid.IntRange(0, len(hosts)-1).Draw(t, "host")
 			d := Digest(rapid.IntRange(1, 3).Draw(t, "request"))
 			if rapid.IntRange(0, 6).Draw(t, "what") == 6 {
-				// An answer clears the crashes that its host has heard of.
+				// An answer clears the crashes that its host has received.
 				for range 7 {
 					exchange(false)
 				}
@@ -216,14 +220,14 @@
 
 func BenchmarkHeard(b *testing.B) {
 	from, to := newTable(), newTable()
-	for i := range maxFresh {
+	for i := range maxUpdates {
 		from.Crashed(Server(1), []Digest{Digest(1 + i)}, start)
 	}
-	told := from.Changes(start, true)
-	if len(told) != maxFresh {
-		b.Fatalf("%d told", len(told))
+	reports := from.Changes(start, true)
+	if len(reports) != maxUpdates {
+		b.Fatalf("%d reported", len(reports))
 	}
 	for b.Loop() {
-		to.Heard(told, start)
+		to.Heard(reports, start)
 	}
 }
--- a/internal/quarantine/tell.go
+++ b/internal/quarantine/tell.go
@@ -9,64 +9,65 @@
 )
 
 const (
-	// tellFor is how long what this host has seen is told with each heartbeat: several
-	// may be lost.
-	tellFor = time.Second
-	// maxFresh bounds the requests of which one heartbeat tells what is new, some 30 bytes
-	// each: about those that run on the largest servers.
-	maxFresh = 64
-	// maxAgain bounds the refused requests that one heartbeat tells again, for hosts that
-	// have started or were out of reach.
-	maxAgain = 2
+	// reportDuration is how long an observation of this host is repeated with each
+	// heartbeat, so that several heartbeats may be lost.
+	reportDuration = time.Second
+	// maxUpdates limits the requests with updates in one heartbeat, at about 30 bytes each.
+	// It is about the number of requests that the largest servers run at once.
+	maxUpdates = 64
+	// maxResent limits the refused requests that one heartbeat resends, for hosts that have
+	// started or were unreachable.
+	maxResent = 2
 )
 
-// news is something that other hosts are to be told.
-type news struct {
-	since time.Time
-	told  bool
+// update is an observation to report to other hosts.
+type update struct {
+	observedAt time.Time
+	reported   bool
 }
 
-// Untold reports whether something is to be told at once.
+// Untold reports whether there is an update to report at once.
 func (t *Table) Untold() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, n := range t.fresh {
-		if !n.told {
+	for _, u := range t.updates {
+		if !u.reported {
 			return true
 		}
 	}
 	return false
 }
 
-// Changes returns what routing hosts are to be told: what this host saw and has not told
-// yet. A round tells everything of the last second again, and some refused requests.
+// Changes returns the updates for routing hosts: what this host has observed and not
+// reported yet. A round also repeats the updates of the last second, and some refused
+// requests.
 func (t *Table) Changes(now time.Time, round bool) []*pb.RequestCrashes {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []*pb.RequestCrashes
-	for _, d := range sorted(t.fresh) {
-		n, r := t.fresh[d], t.records[d]
-		if r == nil || len(out) >= maxFresh || n.told && (!round || now.Sub(n.since) >= tellFor) {
+	for _, d := range sortedDigests(t.updates) {
+		u, r := t.updates[d], t.records[d]
+		if r == nil || len(out) >= maxUpdates || u.reported && (!round || now.Sub(u.observedAt) >= reportDuration) {
 			continue
 		}
-		n.told = true
-		out = append(out, describe(d, r, now))
+		u.reported = true
+		out = append(out, toProto(d, r, now))
 	}
 	if round {
-		out = append(out, t.again(now)...)
+		out = append(out, t.nextRefused(now)...)
 	}
 	return out
 }
 
-// Refusals returns some refused requests in turn, for hosts that are told little.
+// Refusals returns some refused requests, in turn, for hosts that receive reduced heartbeats.
 func (t *Table) Refusals(now time.Time) []*pb.RequestCrashes {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.again(now)
+	return t.nextRefused(now)
 }
 
-// again returns the refused requests that come after those told last.
-func (t *Table) again(now time.Time) []*pb.RequestCrashes {
+// nextRefused returns the refused requests that follow those resent last.
+func (t *Table) nextRefused(now time.Time) []*pb.RequestCrashes {
 	var refused []Digest
 	for d, r := range t.records {
 		if t.refused(d, r, now) > 0 {
@@ -76,36 +77,36 @@
 	slices.Sort(refused)
 	at, _ := slices.BinarySearch(refused, t.cursor+1)
 	var out []*pb.RequestCrashes
-	for i := range min(maxAgain, len(refused)) {
+	for i := range min(maxResent, len(refused)) {
 		d := refused[(at+i)%len(refused)]
-		out = append(out, describe(d, t.records[d], now))
+		out = append(out, toProto(d, t.records[d], now))
 		t.cursor = d
 	}
 	return out
 }
 
-// Heard takes what another host tells.
-func (t *Table) Heard(told []*pb.RequestCrashes, now time.Time) {
+// Heard applies the reports of another host.
+func (t *Table) Heard(reports []*pb.RequestCrashes, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, m := range told {
-		d := Digest(m.Digest)
-		if r := t.records[d]; r != nil && m.AnsweredMs != nil {
-			t.clear(d, r, ago(*m.AnsweredMs, now))
+	for _, report := range reports {
+		d := Digest(report.Digest)
+		if r := t.records[d]; r != nil && report.AnsweredMs != nil {
+			t.clear(d, r, timeOfAge(*report.AnsweredMs, now))
 		}
-		for _, c := range m.Crashes {
-			if at := ago(c.AgeMs, now); now.Sub(at) < forgetAfter {
+		for _, c := range report.Crashes {
+			if at := timeOfAge(c.AgeMs, now); now.Sub(at) < crashRetention {
 				t.add(d, Server(c.Server), at, now)
 			}
 		}
 	}
 }
 
-func ago(ms int64, now time.Time) time.Time {
-	return now.Add(-time.Duration(ms) * time.Millisecond)
+func timeOfAge(ageMs int64, now time.Time) time.Time {
+	return now.Add(-time.Duration(ageMs) * time.Millisecond)
 }
 
-func describe(d Digest, r *record, now time.Time) *pb.RequestCrashes {
+func toProto(d Digest, r *record, now time.Time) *pb.RequestCrashes {
 	out := &pb.RequestCrashes{Digest: uint64(d)}
 	if !r.answered.IsZero() {
 		ms := now.Sub(r.answered).Milliseconds()
@@ -117,4 +118,4 @@
 	return out
 }
 
-func sorted(fresh map[Digest]*news) []Digest { return slices.Sorted(maps.Keys(fresh)) }
+func sortedDigests(updates map[Digest]*update) []Digest { return slices.Sorted(maps.Keys(updates)) }
