--- a/internal/replica/crash.go
+++ b/internal/replica/crash.go
@@ -115,7 +115,7 @@
 }
 
 // Broken returns the addresses of the servers to probe because a connection that carried a
-// request broke.
+// request broke. Each server is returned once for such a failure.
 func (t *Table) Broken() map[string]string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/replica/crash_test.go
+++ b/internal/replica/crash_test.go
@@ -21,7 +21,7 @@
 		w.servers = append(w.servers, server)
 		w.requests = append(w.requests, requests...)
 	}
-	w.Register(startOf(1000, 1), 0)
+	w.Register(registrationOf(1000, 1), 0)
 	return w
 }
 
@@ -79,7 +79,7 @@
 func TestEntryChangeRevealsCrash(t *testing.T) {
 	for name, removeOrRestart := range map[string]func(*crashFixture){
 		"removed":       func(w *crashFixture) { w.Remove("a", true) },
-		"started again": func(w *crashFixture) { w.Register(startOf(2000, 1), 1) },
+		"started again": func(w *crashFixture) { w.Register(registrationOf(2000, 1), 1) },
 		"misdirected":   func(w *crashFixture) { w.RemoveAt("a", crashAddress) },
 	} {
 		w := newCrashFixture()
@@ -103,7 +103,7 @@
 			w.ConnectionRefused("a", crashAddress, now.Add(time.Second))
 		},
 		"leaves": func(w *crashFixture) {
-			draining := startOf(1000, 1)
+			draining := registrationOf(1000, 1)
 			draining.Draining = true
 			w.Register(draining, 1)
 			w.Remove("a", true)
--- a/internal/replica/notice_test.go
+++ b/internal/replica/notice_test.go
@@ -32,7 +32,7 @@
 // incarnation of the ID is not affected.
 func TestLeaveNoticeInAnswerTakesEffect(t *testing.T) {
 	table := NewTable(quietLog(), func(string, string) {})
-	table.Register(startOf(1000, 1), 0)
+	table.Register(registrationOf(1000, 1), 0)
 	earlier := table.Begin("a", Work{}, time.Now())
 	flight := table.Begin("a", Work{}, time.Now())
 	flight.Told(platform.ReplicaAnswer{}, time.Now())
@@ -40,11 +40,11 @@
 		t.Error("counted as leaving without a notice")
 	}
 	flight.Told(leaveNotice, time.Now())
-	table.Register(startOf(1000, 1), 1)
+	table.Register(registrationOf(1000, 1), 1)
 	if requests, commands := accepts(t, table); requests || commands {
 		t.Errorf("after the leave notice: requests %v, commands %v", requests, commands)
 	}
-	table.Register(startOf(2000, 1), 2)
+	table.Register(registrationOf(2000, 1), 2)
 	earlier.Told(leaveNotice, time.Now())
 	if requests, commands := accepts(t, table); !requests || !commands {
 		t.Error("a later incarnation counts as leaving because of a notice of the earlier one")
@@ -57,7 +57,7 @@
 func TestNoticeOfAnotherServerIsIgnored(t *testing.T) {
 	table := NewTable(quietLog(), func(string, string) {})
 	before := time.Now()
-	table.Register(startOf(1000, 1), 0)
+	table.Register(registrationOf(1000, 1), 0)
 	otherServer := leaveNotice
 	otherServer.Instance = "b"
 	table.Begin("a", Work{}, time.Now()).Told(otherServer, time.Now())
@@ -79,7 +79,7 @@
 // unless newer weights have been wanted for long. The longest requested backoff counts.
 func TestBackoff(t *testing.T) {
 	table := NewTable(quietLog(), func(string, string) {})
-	table.Register(startOf(1000, 1), 0)
+	table.Register(registrationOf(1000, 1), 0)
 	now := time.Now()
 	table.Begin("a", Work{}, now).Told(platform.ReplicaAnswer{RetryAfter: 5 * time.Second}, now)
 	table.Begin("a", Work{}, now).Told(platform.ReplicaAnswer{RetryAfter: time.Second}, now)
@@ -99,7 +99,7 @@
 			t.Errorf("%v after newer weights were named: %d servers to be given commands, want %d", after, got, want)
 		}
 	}
-	table.Register(startOf(2000, 1), 1)
+	table.Register(registrationOf(2000, 1), 1)
 	if table.Backoff("a", now) != 0 || table.Backoff("gone", now) != 0 {
 		t.Error("the backoff of an earlier incarnation still counts")
 	}
--- a/internal/replica/restart_test.go
+++ b/internal/replica/restart_test.go
@@ -8,9 +8,9 @@
 	"github.com/briarlink/briarlink/platform"
 )
 
-// startOf returns the registration of an incarnation of server a, started at a Unix time in
+// registrationOf returns the registration of an incarnation of server a, started at a Unix time in
 // milliseconds.
-func startOf(started int64, version int64) platform.Registration {
+func registrationOf(started int64, version int64) platform.Registration {
 	return platform.Registration{
 		ID: "a", Started: started, Service: testService, Address: "10.0.0.1:1", Slots: 4,
 		Weights: map[string]int64{testModel: version},
@@ -23,15 +23,15 @@
 	var dropped []string
 	table := NewTable(quietLog(), func(id, _ string) { dropped = append(dropped, id) })
 	now := time.Now()
-	table.Register(startOf(1000, 3), 0)
+	table.Register(registrationOf(1000, 3), 0)
 	table.SetLoads("other", []*pb.ReplicaLoad{{Replica: "a", Requests: 5, PrefillTokens: 900, Ended: 10, Failed: 10}, {Replica: "b", Requests: 1}}, now)
 	flight := table.Begin("a", Work{Prefill: 4000, Memory: 5000, Expected: time.Second, Reading: time.Second}, now)
 	table.Begin("a", Work{}, now).End(Unreachable, now)
-	draining := startOf(1000, 3)
+	draining := registrationOf(1000, 3)
 	draining.Draining = true
 	table.Register(draining, 1)
 
-	table.Register(startOf(2000, 1), 2)
+	table.Register(registrationOf(2000, 1), 2)
 	if len(dropped) != 1 || dropped[0] != "a" {
 		t.Errorf("state of %v was dropped, want a's once", dropped)
 	}
@@ -53,8 +53,8 @@
 // draining or at another address, does not change the current one.
 func TestLateEntryOfAnEarlierStartIsIgnored(t *testing.T) {
 	table := NewTable(quietLog(), func(string, string) { t.Error("the newer incarnation was dropped") })
-	table.Register(startOf(2000, 2), 0)
-	late := startOf(1000, 9)
+	table.Register(registrationOf(2000, 2), 0)
+	late := registrationOf(1000, 9)
 	late.Draining, late.Address = true, "10.0.0.2:1"
 	table.Register(late, 1)
 	r := table.Snapshot(testService, testModel, 1000, time.Now())[0]
--- a/internal/replica/table.go
+++ b/internal/replica/table.go
@@ -289,7 +289,7 @@
 }
 
 // Candidates returns the servers that one routing decision considers, and whether they are
-// all servers of the service. In a large service they are a subset that depends on the key.
+// all servers of the service. In a large service they are a subset, chosen by the key.
 func (t *Table) Candidates(service, model string, key uint64, cacheTokens int, now time.Time) (candidates []route.Replica, all bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
