--- a/internal/replica/restart_test.go
+++ b/internal/replica/restart_test.go
@@ -8,8 +8,8 @@
 	"github.com/briarlink/briarlink/platform"
 )
 
-// registrationOf returns the registration of an incarnation of server a, started at a Unix time in
-// milliseconds.
+// registrationOf returns the registration of an incarnation of server a, started at a Unix
+// time in milliseconds.
 func registrationOf(started int64, version int64) platform.Registration {
 	return platform.Registration{
 		ID: "a", Started: started, Service: testService, Address: "10.0.0.1:1", Slots: 4,
