--- a/internal/topic/follow.go
+++ b/internal/topic/follow.go
@@ -13,24 +13,24 @@
 	"github.com/briarlink/briarlink/platform"
 )
 
-// Reader is what a follower needs of the store.
+// Reader is the part of the store that a Follower uses.
 type Reader interface {
 	Newest(ctx context.Context, topic string) (platform.Page, error)
 	Read(ctx context.Context, topic string, from int64, wait time.Duration) (platform.Page, error)
 }
 
 const (
-	// firstBackoff and maxBackoff bound the pause after a failed call. The longest
-	// keeps the view less than a second behind once the store is back.
+	// firstBackoff and maxBackoff bound the pause after a failed call. With maxBackoff, a host is
+	// less than a second behind once the store has recovered.
 	firstBackoff = 100 * time.Millisecond
 	maxBackoff   = 800 * time.Millisecond
-	// freshCheck is how often a skipped read is thought over; a random part keeps
-	// hosts from reading in step.
-	freshCheck = 40 * time.Millisecond
-	// lostCheck is how often a host that has lost the store reads by itself while other
-	// hosts' word would spare it that: nothing else tells it that the store is back. Turned
-	// away alone, it costs the store a call in this time.
-	lostCheck = 2 * time.Second
+	// skipCheckInterval is how often a host that skips reads checks whether it still may. A random
+	// addition keeps hosts from reading at the same time.
+	skipCheckInterval = 40 * time.Millisecond
+	// lostReadInterval is how often a host that has lost the store reads although reports of other
+	// hosts would let it skip the read, because it cannot learn otherwise that the store has
+	// recovered. If the store refuses only this host, it costs the store one call per interval.
+	lostReadInterval = 2 * time.Second
 )
 
 // Follower keeps a table up to date from the store.
@@ -38,20 +38,20 @@
 	Store  Reader
 	Table  *Table
 	Access *Access
-	// Wait is how long a read waits for a record at the store; 0 polls.
+	// Wait is how long a read waits at the store for a record. With 0 the follower polls.
 	Wait time.Duration
-	// WaitNow is Wait for the next read; it may be nil.
+	// WaitNow, if set, replaces Wait: it returns the wait for the next read.
 	WaitNow func() time.Duration
-	// Gap is the pause between two reads: it bounds the calls that a busy topic
-	// costs, and adds to the age of what is known.
+	// Gap is the pause between two reads. It bounds the calls that a busy topic costs, and delays
+	// records by as much.
 	Gap time.Duration
-	// Fresh reports whether other hosts' word makes a read needless now; it may be
-	// nil. A host that skips reads learns from those that do not.
+	// Fresh, if set, reports whether the next read is unnecessary because other hosts read the
+	// topic. A host that skips reads receives the records from those that do not.
 	Fresh func() bool
-	// Hold reports whether the first read should wait: other hosts may tell. It may be
-	// nil.
+	// Hold, if set, reports whether to delay the first read because other hosts may send the
+	// records.
 	Hold func() bool
-	// OnRead is called after each read; it may be nil.
+	// OnRead, if set, is called after each read.
 	OnRead func()
 	Log    *logrus.Logger
 }
@@ -60,18 +60,18 @@
 func (f *Follower) Run(ctx context.Context) {
 	backoff := firstBackoff
 	for f.Hold != nil && f.Hold() && !f.Table.Synced() && ctx.Err() == nil {
-		clock.Sleep(ctx, freshCheck)
+		clock.Sleep(ctx, skipCheckInterval)
 	}
 	synced := f.Table.Synced()
-	var last time.Time
+	var lastRead time.Time
 	for ctx.Err() == nil {
-		if synced && f.spared(last) {
-			clock.Sleep(ctx, freshCheck+rand.N(freshCheck))
+		if synced && f.skipsRead(lastRead) {
+			clock.Sleep(ctx, skipCheckInterval+rand.N(skipCheckInterval))
 			continue
 		}
 		var err error
 		synced, err = f.step(ctx, synced)
-		last = clock.Now()
+		lastRead = clock.Now()
 		pause := f.Gap
 		if err != nil {
 			pause = jitter(backoff)
@@ -83,22 +83,22 @@
 	}
 }
 
-// spared reports whether other hosts' word makes a read needless now. A host that has lost
-// the store reads all the same after lostCheck.
-func (f *Follower) spared(last time.Time) bool {
+// skipsRead reports whether reports of other hosts make a read unnecessary. A host that has lost
+// the store still reads every lostReadInterval.
+func (f *Follower) skipsRead(lastRead time.Time) bool {
 	if f.Fresh == nil || !f.Fresh() {
 		return false
 	}
-	return !f.Access.Lost() || clock.Since(last) < lostCheck
+	return !f.Access.Lost() || clock.Since(lastRead) < lostReadInterval
 }
 
-// jitter returns a pause between half of backoff and all of it: hosts that lost
-// the store together do not come back in step, and none waits longer than backoff.
+// jitter returns a random pause between half of backoff and all of it, so that hosts that lost the
+// store together do not retry at the same time and none waits longer than backoff.
 func jitter(backoff time.Duration) time.Duration {
 	return backoff - rand.N(backoff/2)
 }
 
-// step reads once and returns whether reads may go on from the table's end.
+// step reads once and returns whether the next read may continue from the end of the table.
 func (f *Follower) step(ctx context.Context, synced bool) (bool, error) {
 	if !synced {
 		return f.snapshot(ctx)
@@ -116,29 +116,29 @@
 		return false, nil
 	}
 	if err != nil {
-		f.failed(ctx, err)
+		f.recordFailure(ctx, err)
 		return true, err
 	}
 	f.noteUnreadable(page)
 	f.Access.Succeeded(clock.Now())
 	f.Table.Read(clock.Now())
 	f.Table.Merge(page.Records, from+int64(len(page.Records)+page.Unreadable), f.Access.Stable(clock.Now()))
-	f.tell()
+	f.notifyRead()
 	return true, nil
 }
 
-func (f *Follower) wait() time.Duration {
+func (f *Follower) readWait() time.Duration {
 	if f.WaitNow != nil {
 		return f.WaitNow()
 	}
 	return f.Wait
 }
 
-// errRegained ends a waiting read when the store is back after an outage: the
-// read may hang on a connection that the outage has silenced.
-var errRegained = errors.New("the store is back")
+// errRegained ends a waiting read when the store has recovered from an outage, because the read may
+// hang on a connection that the outage broke without closing it.
+var errRegained = errors.New("the store has recovered")
 
-// read reads once; a read that waits is given up when the store is regained.
+// read reads once. A waiting read is cancelled when the store is regained.
 func (f *Follower) read(ctx context.Context, from int64) (platform.Page, error) {
 	if f.Wait == 0 {
 		return f.Store.Read(ctx, f.Table.Name(), from, 0)
@@ -153,7 +153,7 @@
 		case <-ctx.Done():
 		}
 	}()
-	page, err := f.Store.Read(ctx, f.Table.Name(), from, f.wait())
+	page, err := f.Store.Read(ctx, f.Table.Name(), from, f.readWait())
 	if err != nil && errors.Is(context.Cause(ctx), errRegained) {
 		return platform.Page{}, errRegained
 	}
@@ -163,90 +163,90 @@
 func (f *Follower) snapshot(ctx context.Context) (bool, error) {
 	page, err := f.Store.Newest(ctx, f.Table.Name())
 	if err != nil {
-		f.failed(ctx, err)
+		f.recordFailure(ctx, err)
 		return false, err
 	}
 	f.noteUnreadable(page)
 	f.Access.Succeeded(clock.Now())
 	if !f.Table.Snapshot(page, f.Access.Stable(clock.Now())) {
-		return false, errors.New("the store's view is older than this host's")
+		return false, errors.New("the snapshot is older than the records already applied")
 	}
 	f.Table.Read(clock.Now())
-	f.tell()
+	f.notifyRead()
 	return true, nil
 }
 
-// noteUnreadable says that a page left records out. Each is read once, and again
-// after trimmed history, so that such writes bound the lines.
+// noteUnreadable logs that records of a page were skipped. Each record is read once, and once more
+// after the topic was trimmed, so the number of such writes bounds the log lines.
 func (f *Follower) noteUnreadable(page platform.Page) {
 	if page.Unreadable > 0 {
 		f.Log.WithFields(logrus.Fields{"topic": f.Table.Name(), "records": page.Unreadable}).Warn("records that cannot be read were left out")
 	}
 }
 
-func (f *Follower) tell() {
+func (f *Follower) notifyRead() {
 	if f.OnRead != nil {
 		f.OnRead()
 	}
 }
 
-func (f *Follower) failed(ctx context.Context, err error) {
+func (f *Follower) recordFailure(ctx context.Context, err error) {
 	if ctx.Err() != nil {
 		return
 	}
 	f.Access.Failed(clock.Now(), err)
 }
 
-// Access is whether this host reaches the store. It is safe for concurrent use.
+// Access tracks whether this host can reach the store. It is safe for concurrent use.
 type Access struct {
-	// grace is how long after an outage removals may still be its trace.
+	// grace is how long after an outage a removal may still be a consequence of it.
 	grace time.Duration
 	log   *logrus.Logger
 
 	mu sync.Mutex
-	// lost is when the present outage began, or zero.
-	lost time.Time
-	// regained is when the last outage ended.
-	regained time.Time
-	// success is when the store last answered.
-	success Freshness
-	// back is closed and replaced when an outage ends.
-	back chan struct{}
+	// lostSince is when the current outage began, or zero.
+	lostSince time.Time
+	// regainedAt is when the last outage ended.
+	regainedAt time.Time
+	// lastSuccess is when the store last answered.
+	lastSuccess Freshness
+	// recovered is closed and replaced when an outage ends.
+	recovered chan struct{}
 }
 
-// NewAccess returns access that counts as good until a call fails.
+// NewAccess returns an Access that assumes the store to be reachable until a call fails.
 func NewAccess(grace time.Duration, log *logrus.Logger) *Access {
-	return &Access{grace: grace, log: log, back: make(chan struct{})}
+	return &Access{grace: grace, log: log, recovered: make(chan struct{})}
 }
 
 // Regained returns a channel that is closed when the next outage ends.
 func (a *Access) Regained() <-chan struct{} {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.back
+	return a.recovered
 }
 
 // Succeeded records a call that the store answered.
 func (a *Access) Succeeded(now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.success.Note(now)
-	if a.lost.IsZero() {
+	a.lastSuccess.Note(now)
+	if a.lostSince.IsZero() {
 		return
 	}
-	a.log.WithField("outage_ms", now.Sub(a.lost).Milliseconds()).Info("store regained")
-	a.lost = time.Time{}
-	a.regained = now
-	close(a.back)
-	a.back = make(chan struct{})
+	a.log.WithField("outage_ms", now.Sub(a.lostSince).Milliseconds()).Info("store regained")
+	a.lostSince = time.Time{}
+	a.regainedAt = now
+	close(a.recovered)
+	a.recovered = make(chan struct{})
 }
 
 // Failed records a call that the store refused or did not answer.
 func (a *Access) Failed(now time.Time, err error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.lost.IsZero() {
-		a.lost = now
+	if a.lostSince.IsZero() {
+		a.lostSince = now
 		a.log.WithError(err).Warn("store lost")
 	}
 }
@@ -255,15 +255,15 @@
 func (a *Access) Lost() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return !a.lost.IsZero()
+	return !a.lostSince.IsZero()
 }
 
-// Stable reports whether the store is reached and was for the grace time.
+// Stable reports whether the store is reachable and has been for the grace period.
 func (a *Access) Stable(now time.Time) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.lost.IsZero() && (a.regained.IsZero() || now.Sub(a.regained) > a.grace)
+	return a.lostSince.IsZero() && (a.regainedAt.IsZero() || now.Sub(a.regainedAt) > a.grace)
 }
 
 // Age returns the time since the store last answered.
-func (a *Access) Age(now time.Time) time.Duration { return a.success.Age(now) }
+func (a *Access) Age(now time.Time) time.Duration { return a.lastSuccess.Age(now) }
--- a/internal/topic/fresh.go
+++ b/internal/topic/fresh.go
@@ -5,15 +5,16 @@
 	"time"
 )
 
-// Freshness is the moment up to which something is known: that the store answers, or
-// a topic whole. Since then a record may have been missed. It moves on with this
-// host's own reads, or with the word of hosts that have applied no more than this one. It is safe for concurrent use.
+// Freshness is the latest time at which something was confirmed: that the store answers, or that
+// all records of a topic were applied. Records written later may be missing. It advances with the
+// reads of this host, and with reports of hosts that have applied no more of the topic than this
+// one. It is safe for concurrent use.
 type Freshness struct {
 	mu sync.Mutex
 	at time.Time
 }
 
-// Note records that it is known up to a moment.
+// Note advances the time of the last confirmation.
 func (f *Freshness) Note(at time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -22,20 +23,20 @@
 	}
 }
 
-// Heard takes another host's word: how far it has applied the topic, and how long
-// ago it knew it whole. It says nothing of a topic that this host has applied less
-// far.
-func (f *Freshness) Heard(theirs, ours int64, age time.Duration, now time.Time) {
-	if theirs > ours || age < 0 || age >= NeverFresh {
+// Heard applies a report of another host: the end up to which it has applied the topic, and how
+// long ago it had applied all of it. The report is ignored if this host has applied less of the
+// topic.
+func (f *Freshness) Heard(peerEnd, end int64, age time.Duration, now time.Time) {
+	if peerEnd > end || age < 0 || age >= NeverFresh {
 		return
 	}
 	f.Note(now.Add(-age))
 }
 
-// NeverFresh is the age of what was never known.
+// NeverFresh is the age of something that was never confirmed.
 const NeverFresh = 24 * time.Hour
 
-// Age returns the time since it was known.
+// Age returns the time since the last confirmation.
 func (f *Freshness) Age(now time.Time) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/topic/fresh_test.go
+++ b/internal/topic/fresh_test.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// TestFreshnessPassesOnFromHostToHost: a standby host knows through its relay how
-// old the newest read of another host is, and no word makes a view younger than it
-// is, or one that lacks records.
+// TestFreshnessPassesOnFromHostToHost checks that a standby host learns through its relay how old
+// another host's newest read is, and that no report makes a topic appear fresher than it is, or
+// fresh while records are missing.
 func TestFreshnessPassesOnFromHostToHost(t *testing.T) {
 	start := time.Unix(1000, 0)
 	var relay, standby Freshness
 	if relay.Age(start) != NeverFresh {
-		t.Error("fresh without any word")
+		t.Error("fresh without any report")
 	}
 	relay.Heard(5, 5, 100*time.Millisecond, start)
 	later := start.Add(300 * time.Millisecond)
@@ -25,10 +25,10 @@
 	standby.Heard(5, 5, NeverFresh, later)
 	standby.Heard(5, 5, -time.Second, later)
 	if got := standby.Age(later); got != 400*time.Millisecond {
-		t.Errorf("age %v after words that say nothing newer", got)
+		t.Errorf("age %v after reports without newer information, want 400ms", got)
 	}
 	standby.Heard(6, 6, 50*time.Millisecond, later)
 	if got := standby.Age(later); got != 50*time.Millisecond {
-		t.Errorf("age %v once the records are known", got)
+		t.Errorf("age %v once the records are applied, want 50ms", got)
 	}
 }
--- a/internal/topic/table.go
+++ b/internal/topic/table.go
@@ -1,6 +1,6 @@
-// Package topic keeps the newest records of the store's keyed topics. Records
-// come from the store and, while it cannot be reached, from other hosts; they
-// are merged by offset, so that a view never goes back.
+// Package topic keeps the newest records of the store's keyed topics. Records come from the store
+// and, while it is unreachable, from other hosts. They are merged by offset, so that a newer record
+// is never replaced by an older one.
 package topic
 
 import (
@@ -11,65 +11,65 @@
 	"github.com/briarlink/briarlink/platform"
 )
 
-// Origin is how a record came to be known.
+// Origin describes how a record was received.
 type Origin struct {
-	// Trusted means that a removal is no trace of an outage of the store.
+	// Trusted means that a removal cannot be a consequence of an outage of the store.
 	Trusted bool
-	// First means that the record came before this host knew the topic whole: it may
-	// have been written at any time. Others were written since what was known before.
+	// First means that the record was received before this host had applied the whole topic once,
+	// so it may have been written at any time. Other records were written after those that this
+	// host had applied before.
 	First bool
 }
 
-// Table holds the newest record of each key of one topic. It is safe for
-// concurrent use; mu is its only lock and is not held while onRecord runs, which may
-// call the table.
+// Table holds the newest record of each key of one topic. It is safe for concurrent use. mu is its
+// only lock; it is not held while onRecord runs, which may call the table.
 type Table struct {
 	name     string
-	onRecord func(rec platform.Record, from Origin)
+	onRecord func(rec platform.Record, origin Origin)
 
 	mu      sync.Mutex
 	records map[string]platform.Record
-	// end is the first offset not yet applied.
+	// end is the first offset that is not applied yet.
 	end int64
-	// whole is whether the whole topic was merged once; synced whether its records
-	// were told too.
-	whole, synced bool
-	// untold are the records that were merged and not told yet, in the order in which
-	// they are told; telling is whether a merge is telling them.
-	untold  []news
-	telling bool
-	// read is up to when this host itself has read the topic.
-	read Freshness
+	// complete is set once the whole topic has been merged, synced once onRecord has also been
+	// called for its records.
+	complete, synced bool
+	// pending holds records that were merged but not passed to onRecord yet, in the order of the
+	// calls. notifying is set while a merge calls onRecord.
+	pending   []update
+	notifying bool
+	// lastRead is when this host last read the topic from the store itself.
+	lastRead Freshness
 }
 
-// news is a record that is newer than what was known.
-type news struct {
-	rec  platform.Record
-	from Origin
+// update is a merged record to be passed to onRecord.
+type update struct {
+	rec    platform.Record
+	origin Origin
 }
 
-// maxRemoved bounds the removals that are remembered for other hosts.
+// maxRemoved bounds the removals that are kept for other hosts.
 const maxRemoved = 4096
 
-// NewTable returns an empty table. onRecord is called for each newer record, for one
-// at a time, in the order of offsets within one merge and merge by merge: of a key it is
-// told of no older record after a newer one, however many sources are merged at once. What
-// it has put in force would else be replaced by what that had overtaken, for good.
-func NewTable(name string, onRecord func(rec platform.Record, from Origin)) *Table {
+// NewTable returns an empty table. onRecord is called for each newer record, never concurrently, in
+// the order of offsets within one merge and merge by merge. It is therefore never called with an
+// older record of a key after a newer one, even if several sources are merged at once. Otherwise
+// the older record would replace a newer one that the callback had already applied, and would stay.
+func NewTable(name string, onRecord func(rec platform.Record, origin Origin)) *Table {
 	return &Table{name: name, onRecord: onRecord, records: map[string]platform.Record{}}
 }
 
 // Name returns the topic's name.
 func (t *Table) Name() string { return t.name }
 
-// End returns the first offset that is not applied.
+// End returns the first offset that is not applied yet.
 func (t *Table) End() int64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.end
 }
 
-// Synced reports whether the whole topic was read once and onRecord was told of it.
+// Synced reports whether the whole topic was merged once and onRecord was called for its records.
 func (t *Table) Synced() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -77,38 +77,39 @@
 }
 
 // Read records that this host has just read the topic from the store.
-func (t *Table) Read(now time.Time) { t.read.Note(now) }
+func (t *Table) Read(now time.Time) { t.lastRead.Note(now) }
 
-// Age returns how long ago this host itself read the topic.
-func (t *Table) Age(now time.Time) time.Duration { return t.read.Age(now) }
+// Age returns the time since this host itself last read the topic.
+func (t *Table) Age(now time.Time) time.Duration { return t.lastRead.Age(now) }
 
-// Merge takes records of a read, which must be all up to end. It returns how
-// many were new. Where another merge is just telling of its records, it tells of these
-// too, and Merge does not wait for it; the same holds for MergeAll and Snapshot.
+// Merge applies the records of a read, which must be all readable ones up to end that are not
+// applied yet. It returns how many were newer. If another merge is calling onRecord, that merge
+// also makes the calls for these records and Merge does not wait for them. The same holds for
+// MergeAll and Snapshot.
 func (t *Table) Merge(records []platform.Record, end int64, trusted bool) int {
-	return t.take(records, end, false, trusted)
+	return t.apply(records, end, false, trusted)
 }
 
-// MergeAll takes every record that another host knows from an offset on that
-// this host has applied up to, or from 0.
+// MergeAll applies all records that another host has from an offset up to which this host has
+// applied the topic, or from 0.
 func (t *Table) MergeAll(records []platform.Record, end int64, trusted bool) int {
-	return t.take(records, end, true, trusted)
+	return t.apply(records, end, true, trusted)
 }
 
-// take takes records, whole where with them the whole topic is known.
-func (t *Table) take(records []platform.Record, end int64, whole, trusted bool) int {
+// apply merges records. complete is set if the table then covers the whole topic.
+func (t *Table) apply(records []platform.Record, end int64, complete, trusted bool) int {
 	t.mu.Lock()
-	fresh := t.merge(records, trusted)
+	newer := t.merge(records, trusted)
 	t.end = max(t.end, end)
-	t.whole = t.whole || whole
+	t.complete = t.complete || complete
 	t.mu.Unlock()
-	t.tell()
-	return fresh
+	t.notify()
+	return newer
 }
 
-// Snapshot takes the newest record of every key. Keys that are missing and older
-// than the snapshot were removed. A snapshot older than what was applied is not
-// taken; it returns false.
+// Snapshot applies the newest record of every key. Keys that are older than the snapshot and
+// missing from it were removed. It ignores a snapshot that is older than the records already
+// applied and returns false.
 func (t *Table) Snapshot(page platform.Page, trusted bool) bool {
 	t.mu.Lock()
 	if page.End < t.end {
@@ -117,13 +118,13 @@
 	}
 	t.merge(append(page.Records, t.missing(page)...), trusted)
 	t.end = page.End
-	t.whole = true
+	t.complete = true
 	t.mu.Unlock()
-	t.tell()
+	t.notify()
 	return true
 }
 
-// missing returns removals for the keys that a snapshot lacks.
+// missing returns removals for the keys that are missing from a snapshot.
 func (t *Table) missing(page platform.Page) []platform.Record {
 	present := make(map[string]bool, len(page.Records))
 	for _, rec := range page.Records {
@@ -138,29 +139,30 @@
 	return out
 }
 
-// merge takes the newer ones of these records, leaves them to be told, and returns how
-// many they are.
+// merge stores those of the records that are newer, appends them to pending, and returns their
+// number.
 func (t *Table) merge(records []platform.Record, trusted bool) int {
-	var fresh []platform.Record
+	var newer []platform.Record
 	for _, rec := range records {
 		old, known := t.records[rec.Key]
 		if known && old.Offset >= rec.Offset {
 			continue
 		}
 		t.records[rec.Key] = rec
-		fresh = append(fresh, rec)
+		newer = append(newer, rec)
 	}
-	t.forget()
-	sort.SliceStable(fresh, func(i, j int) bool { return fresh[i].Offset < fresh[j].Offset })
-	from := Origin{Trusted: trusted, First: !t.whole}
-	for _, rec := range fresh {
-		t.untold = append(t.untold, news{rec, from})
+	t.trimRemovals()
+	sort.SliceStable(newer, func(i, j int) bool { return newer[i].Offset < newer[j].Offset })
+	origin := Origin{Trusted: trusted, First: !t.complete}
+	for _, rec := range newer {
+		t.pending = append(t.pending, update{rec, origin})
 	}
-	return len(fresh)
+	return len(newer)
 }
 
-// forget drops the oldest removals beyond maxRemoved.
-func (t *Table) forget() {
+// trimRemovals drops the oldest removals once there are more than maxRemoved, and keeps
+// maxRemoved/2 of them.
+func (t *Table) trimRemovals() {
 	var removed []platform.Record
 	if len(t.records) <= maxRemoved {
 		return
@@ -179,31 +181,31 @@
 	}
 }
 
-// tell tells of what was merged and not told yet, unless another merge is telling.
-func (t *Table) tell() {
+// notify calls onRecord for the pending records, unless another merge is doing so.
+func (t *Table) notify() {
 	for first := true; ; first = false {
-		batch := t.takeUntold(first)
+		batch := t.takePending(first)
 		if len(batch) == 0 {
 			return
 		}
-		for _, n := range batch {
-			t.onRecord(n.rec, n.from)
+		for _, u := range batch {
+			t.onRecord(u.rec, u.origin)
 		}
 	}
 }
 
-// takeUntold returns the records that the caller is to tell: none while another merge is
-// telling, or once all are told. Only then is the table synced.
-func (t *Table) takeUntold(first bool) []news {
+// takePending returns the records for which the caller must call onRecord: none if another merge is
+// making the calls, or if none are left. Only in the latter case does the table become synced.
+func (t *Table) takePending(first bool) []update {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if first && t.telling {
+	if first && t.notifying {
 		return nil
 	}
-	batch := t.untold
-	t.untold = nil
-	t.telling = len(batch) > 0
-	t.synced = t.synced || t.whole && !t.telling
+	batch := t.pending
+	t.pending = nil
+	t.notifying = len(batch) > 0
+	t.synced = t.synced || t.complete && !t.notifying
 	return batch
 }
 
