--- a/internal/quota/admit.go
+++ b/internal/quota/admit.go
@@ -8,7 +8,7 @@
 
 // Decision is the outcome of an admission check.
 type Decision struct {
-	// Cost is what the request counts against the limit. It is charged if the request is admitted.
+	// An admitted request is charged Cost.
 	Admitted bool
 	Cost     int64
 	// RetryAfter is how long the caller of a refused request should wait. Limit is the limit that
--- a/internal/topic/topic_test.go
+++ b/internal/topic/topic_test.go
@@ -98,10 +98,10 @@
 	})
 }
 
-// TestSyncedAfterAllNotifications guards against a host that becomes ready too early: ready hosts
-// have synced topics, and before onRecord has been called for every record, a host would refuse
-// requests although it has read of backend servers for them. If two merges run at once, the later
-// one must not mark the table synced while the first is still making calls.
+// TestSyncedAfterAllNotifications guards against a host that becomes ready too early: a host is
+// ready once its topics are synced, and if that were before onRecord has been called for every
+// record, it would refuse requests for which it has already read a backend server. If two merges
+// run at once, the later one must not mark the table synced while the first is still making calls.
 func TestSyncedAfterAllNotifications(t *testing.T) {
 	records := []platform.Record{put("a", 0), put("b", 1)}
 	for name, apply := range map[string]func(*Table){
@@ -140,7 +140,7 @@
 	reads   int
 }
 
-// change changes the state that later calls return.
+// change modifies the state that later calls return.
 func (f *fakeReader) change(alter func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -379,10 +379,10 @@
 	})
 }
 
-// TestStoreIsRegainedWhileOthersRead guards against a host that counts the store as lost forever.
-// After a failed read it never called the store again as long as other hosts reported their reads,
-// and did not process entries that had expired during the outage. It must call the store now and
-// then, rarely enough for a store that refuses a part of the fleet.
+// TestStoreIsRegainedWhileOthersRead guards against a host that counts the store as lost as long as
+// other hosts read for it. After a failed read it never called the store again, and did not process
+// entries that had expired during the outage. It must call the store now and then, rarely enough
+// for a store that refuses a part of the fleet.
 func TestStoreIsRegainedWhileOthersRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const outage = time.Minute
