--- a/internal/member/fleet_test.go
+++ b/internal/member/fleet_test.go
@@ -11,48 +11,48 @@
 	pb "github.com/briarlink/briarlink/api/briarlink/v1"
 )
 
-// testInterval is the usual interval of heartbeats.
+// testInterval is the default interval between heartbeats.
 const testInterval = 150 * time.Millisecond
 
 // simHost is one host of a simulated fleet.
 type simHost struct {
-	table    *Table
-	self     *pb.Heartbeat
-	sequence uint64
-	tick     int
-	down     bool
-	cut      string
-	// sent and heard count datagrams, bytes those sent.
-	sent, heard, bytes int
+	table     *Table
+	self      *pb.Heartbeat
+	sequence  uint64
+	tick      int
+	down      bool
+	partition string
+	// sent and received count datagrams, bytes the size of those sent.
+	sent, received, bytes int
 }
 
-// sim is a fleet whose heartbeats are function calls: no network, no clock but its
-// own, and one in a hundred lost.
+// sim is a simulated fleet that delivers heartbeats by function calls, without a network and
+// on its own clock. One heartbeat in a hundred is lost.
 type sim struct {
-	t     *testing.T
-	now   time.Time
-	hosts []*simHost
-	at    map[string]*simHost
-	rng   *rand.Rand
-	queue []delivery
+	t         *testing.T
+	now       time.Time
+	hosts     []*simHost
+	byAddress map[string]*simHost
+	rng       *rand.Rand
+	queue     []delivery
 }
 
 type delivery struct {
-	to   string
-	from *simHost
-	beat *pb.Heartbeat
+	to        string
+	from      *simHost
+	heartbeat *pb.Heartbeat
 }
 
-// newSim starts a fleet whose hosts know the first three.
+// newSim starts a fleet in which every host knows the addresses of the first three.
 func newSim(t *testing.T, zones, large, small int) *sim {
-	s := &sim{t: t, now: time.Unix(1_000_000, 0), at: map[string]*simHost{}, rng: rand.New(rand.NewPCG(1, 2))}
+	s := &sim{t: t, now: time.Unix(1_000_000, 0), byAddress: map[string]*simHost{}, rng: rand.New(rand.NewPCG(1, 2))}
 	for z := range zones {
 		for i := range large + small {
 			cores := 0.2
 			if i < large {
 				cores = 0.8
 			}
-			// Seeds are small hosts as well as large ones.
+			// The seeds, which are the first three hosts, are large unless large is below 3.
 			s.add(fmt.Sprintf("edge-%d-%d", z, i), fmt.Sprintf("zone-%d", z), cores)
 		}
 	}
@@ -66,25 +66,25 @@
 	}}
 	h.start(s)
 	s.hosts = append(s.hosts, h)
-	s.at[peer] = h
+	s.byAddress[peer] = h
 	return h
 }
 
-// start begins a host that knows the seeds alone.
+// start resets the host to one that only knows the addresses of the seeds.
 func (h *simHost) start(s *sim) {
-	h.table = NewTable(proto.CloneOf(h.self), testDead)
-	h.tick = s.rng.IntN(standbyTicks)
+	h.table = NewTable(proto.CloneOf(h.self), testDeadAfter)
+	h.tick = s.rng.IntN(fromStandbyTicks)
 	for i := 0; i < min(3, len(s.hosts)); i++ {
 		h.table.Learn(s.hosts[i].self.PeerAddress, s.now)
 	}
 }
 
-// run plays so much time, one interval after the other.
+// run advances the simulation by d, one interval at a time.
 func (s *sim) run(d time.Duration) {
 	for end := s.now.Add(d); s.now.Before(end); s.now = s.now.Add(testInterval) {
 		for _, h := range s.hosts {
 			if !h.down {
-				s.beat(h)
+				s.sendHeartbeats(h)
 			}
 		}
 		for _, d := range s.queue {
@@ -94,7 +94,7 @@
 	}
 }
 
-func (s *sim) beat(h *simHost) {
+func (s *sim) sendHeartbeats(h *simHost) {
 	h.table.Expire(s.now)
 	to := h.table.Tick(h.tick, false, s.now)
 	h.tick++
@@ -117,8 +117,8 @@
 		}
 		for _, part := range Split(b, func() uint64 { h.sequence++; return h.sequence }) {
 			size := proto.Size(part)
-			if size > maxDatagram {
-				s.t.Errorf("a datagram of %d bytes", size)
+			if size > maxDatagramBytes {
+				s.t.Errorf("a datagram has %d bytes", size)
 			}
 			for _, address := range kind.to {
 				h.sent++
@@ -130,24 +130,25 @@
 }
 
 func (s *sim) deliver(d delivery) {
-	to := s.at[d.to]
-	if to == nil || to.down || to.cut != d.from.cut || s.rng.IntN(100) == 0 {
+	to := s.byAddress[d.to]
+	if to == nil || to.down || to.partition != d.from.partition || s.rng.IntN(100) == 0 {
 		return
 	}
-	to.heard++
-	to.table.Heard(d.beat, s.now)
+	to.received++
+	to.table.Heard(d.heartbeat, s.now)
 }
 
-// count resets the counters.
-func (s *sim) count() {
+// resetCounters resets the counters.
+func (s *sim) resetCounters() {
 	for _, h := range s.hosts {
-		h.sent, h.heard, h.bytes = 0, 0, 0
+		h.sent, h.received, h.bytes = 0, 0, 0
 	}
 }
 
-// agreed reports whether each live host of a kind has exactly the live hosts among
-// its routing ones that a choice among all live hosts gives, less a few.
-func (s *sim) disagree(slack int) string {
+// disagreement compares each live host's view of the routing hosts with a selection among
+// all live hosts. It describes the first host that differs by more than slack hosts, or
+// returns "".
+func (s *sim) disagreement(slack int) string {
 	var live []Candidate
 	for _, h := range s.hosts {
 		if !h.down {
@@ -159,15 +160,15 @@
 		if h.down {
 			continue
 		}
-		wrong := 0
+		unexpected := 0
 		v := h.table.View(s.now)
 		for _, b := range v.Routing {
 			if !want[b.Host] {
-				wrong++
+				unexpected++
 			}
 		}
-		if missing := len(want) + wrong - len(v.Routing); wrong > slack || missing > slack {
-			return fmt.Sprintf("%s: %d hosts of %d are wrong and %d missing", h.self.Host, wrong, len(want), missing)
+		if missing := len(want) + unexpected - len(v.Routing); unexpected > slack || missing > slack {
+			return fmt.Sprintf("%s: %d hosts of %d are wrong and %d missing", h.self.Host, unexpected, len(want), missing)
 		}
 	}
 	return ""
@@ -182,97 +183,99 @@
 	return 0
 }
 
-// until runs until the hosts agree, and returns how long that took.
-func (s *sim) until(what string, slack int, limit time.Duration) time.Duration {
+// runUntilAgreed runs until disagreement returns "", and returns how long that took.
+func (s *sim) runUntilAgreed(what string, slack int, limit time.Duration) time.Duration {
 	s.t.Helper()
-	began := s.now
-	for s.disagree(slack) != "" {
-		if s.now.Sub(began) > limit {
-			s.t.Fatalf("%s: after %v %s", what, limit, s.disagree(slack))
+	start := s.now
+	for s.disagreement(slack) != "" {
+		if s.now.Sub(start) > limit {
+			s.t.Fatalf("%s: after %v %s", what, limit, s.disagreement(slack))
 		}
 		s.run(testInterval)
 	}
-	return s.now.Sub(began)
+	return s.now.Sub(start)
 }
 
-// load returns the most datagrams that a host sent, those that it heard, and the
-// bytes it sent, per second.
-func (s *sim) load(d time.Duration, routing bool) (sent, heard, bytes int) {
-	s.count()
+// maxRates returns the maximum numbers of datagrams sent and received by a host, and of
+// bytes sent, per second, among the routing hosts or the others.
+func (s *sim) maxRates(d time.Duration, routing bool) (sent, received, bytes int) {
+	s.resetCounters()
 	s.run(d)
 	seconds := int(d / time.Second)
 	for _, h := range s.hosts {
 		if h.down || h.table.View(s.now).Here != routing {
 			continue
 		}
-		sent, heard, bytes = max(sent, h.sent/seconds), max(heard, h.heard/seconds), max(bytes, h.bytes/seconds)
+		sent, received, bytes = max(sent, h.sent/seconds), max(received, h.received/seconds), max(bytes, h.bytes/seconds)
 	}
-	return sent, heard, bytes
+	return sent, received, bytes
 }
 
-// TestCostOfAHostDoesNotGrowWithTheFleet: with every host telling every other, a
-// host of 300 sent and heard a thousand datagrams a second and more. A standby host's
-// cost is the same in every fleet; a routing one hears its part of the standby hosts.
-func TestCostOfAHostDoesNotGrowWithTheFleet(t *testing.T) {
+// TestHostTrafficDoesNotGrowWithTheFleet guards against heartbeats from every host to every
+// other, with which a host in a fleet of 300 sent and received over a thousand datagrams per
+// second. The traffic of a standby host must not depend on the size of the fleet; that of a
+// routing host may grow with its part of the standby hosts.
+func TestHostTrafficDoesNotGrowWithTheFleet(t *testing.T) {
 	t.Parallel()
-	costs := map[int]*cost{6: {}, 22: {}, 47: {}}
+	traffic := map[int]*hostTraffic{6: {}, 22: {}, 47: {}}
 	t.Run("fleets", func(t *testing.T) {
-		for small, of := range costs {
+		for small, result := range traffic {
 			t.Run(fmt.Sprint(small), func(t *testing.T) {
 				t.Parallel()
-				*of = costOf(t, small)
+				*result = measureTraffic(t, small)
 			})
 		}
 	})
-	if costs[22].standby > costs[6].standby*3/2 || costs[47].standby > costs[6].standby*3/2 {
-		t.Errorf("the cost of a standby host grows from %v by %v to %v", *costs[6], *costs[22], *costs[47])
+	if traffic[22].standby > traffic[6].standby*3/2 || traffic[47].standby > traffic[6].standby*3/2 {
+		t.Errorf("the datagrams of a standby host per second, by small hosts per zone: 6: %v, 22: %v, 47: %v", *traffic[6], *traffic[22], *traffic[47])
 	}
-	// 18 routing hosts tell each other seven times a second: 240 datagrams.
-	if costs[47].routing > 700 {
-		t.Errorf("a routing host of 300 sends and hears %d datagrams a second", costs[47].routing)
+	// 18 routing hosts send each other about seven heartbeats per second: 240 datagrams.
+	if traffic[47].routing > 700 {
+		t.Errorf("a routing host in a fleet of 300 sends and receives %d datagrams per second", traffic[47].routing)
 	}
 }
 
-// cost is the number of datagrams that a host sends and hears a second, by its kind.
-type cost struct{ standby, routing int }
+// hostTraffic is the number of datagrams that a host sends and receives per second, by role.
+type hostTraffic struct{ standby, routing int }
 
-// costOf measures it in a fleet with so many small hosts a zone.
-func costOf(t *testing.T, small int) cost {
+// measureTraffic measures the traffic in a fleet with the given number of small hosts per
+// zone.
+func measureTraffic(t *testing.T, small int) hostTraffic {
 	s := newSim(t, 6, 3, small)
-	s.until("start", 0, 5*time.Second)
+	s.runUntilAgreed("start", 0, 5*time.Second)
 	s.run(6 * time.Second)
-	sent, heard, bytes := s.load(4*time.Second, false)
-	if sent+heard > 20 || bytes > 4096 {
-		t.Errorf("%d hosts: a standby host sends %d datagrams of %d bytes a second and hears %d", len(s.hosts), sent, bytes, heard)
+	sent, received, bytes := s.maxRates(4*time.Second, false)
+	if sent+received > 20 || bytes > 4096 {
+		t.Errorf("%d hosts: a standby host sends %d datagrams and %d bytes per second and receives %d datagrams", len(s.hosts), sent, bytes, received)
 	}
-	routingSent, routingHeard, _ := s.load(4*time.Second, true)
-	t.Logf("%d hosts: standby %d sent, %d heard, %d bytes; routing %d sent, %d heard", len(s.hosts), sent, heard, bytes, routingSent, routingHeard)
-	return cost{sent + heard, routingSent + routingHeard}
+	routingSent, routingReceived, _ := s.maxRates(4*time.Second, true)
+	t.Logf("%d hosts: standby %d sent, %d received, %d bytes; routing %d sent, %d received", len(s.hosts), sent, received, bytes, routingSent, routingReceived)
+	return hostTraffic{sent + received, routingSent + routingReceived}
 }
 
-// TestFleetStartsAtOnce: 300 hosts that know three seeds agree on who routes. The
-// first callers come seconds later.
+// TestFleetStartsAtOnce starts 300 hosts that know three seeds. They must agree on the
+// routing hosts before the first callers connect some seconds later.
 func TestFleetStartsAtOnce(t *testing.T) {
 	t.Parallel()
 	s := newSim(t, 6, 3, 47)
-	took := s.until("start", 0, 3*time.Second)
+	took := s.runUntilAgreed("start", 0, 3*time.Second)
 	t.Logf("agreed after %v", took)
 }
 
-// TestLargeHostsLostAtOnce: all of them die at one moment. Their silence is known
-// after 1 s to those they told, and after 2.5 s to all; then small hosts route.
+// TestLargeHostsLostAtOnce stops all large hosts at once. Hosts that received their
+// heartbeats notice after 1 s, the others after 2.5 s; then small hosts must route.
 func TestLargeHostsLostAtOnce(t *testing.T) {
 	t.Parallel()
 	s := newSim(t, 4, 3, 34)
-	s.until("start", 0, 3*time.Second)
+	s.runUntilAgreed("start", 0, 3*time.Second)
 	s.run(8 * time.Second)
 	for _, h := range s.hosts {
 		h.down = h.self.Cores > 0.5
 	}
-	t.Logf("agreed after %v", s.until("loss of the large hosts", 8, 4*time.Second))
-	sent, heard, _ := s.load(4*time.Second, true)
-	if sent+heard > 1500 {
-		t.Errorf("a small host that routes sends and hears %d datagrams a second", sent+heard)
+	t.Logf("agreed after %v", s.runUntilAgreed("loss of the large hosts", 8, 4*time.Second))
+	sent, received, _ := s.maxRates(4*time.Second, true)
+	if sent+received > 1500 {
+		t.Errorf("a small host that routes sends and receives %d datagrams per second", sent+received)
 	}
 	for _, h := range s.hosts {
 		if h.down {
@@ -281,81 +284,81 @@
 			h.start(s)
 		}
 	}
-	t.Logf("agreed after %v", s.until("return of the large hosts", 0, 4*time.Second))
+	t.Logf("agreed after %v", s.runUntilAgreed("return of the large hosts", 0, 4*time.Second))
 }
 
-// TestSmallHostsLostAtOnce: half of the small ones, without a word. Nobody routes to
-// them, and of the rest nobody is thought dead.
+// TestSmallHostsLostAtOnce stops half of the small hosts without a leave notice. No host may
+// then route to them, and none of the remaining hosts may be declared dead.
 func TestSmallHostsLostAtOnce(t *testing.T) {
 	t.Parallel()
 	s := newSim(t, 4, 3, 34)
-	s.until("start", 0, 3*time.Second)
+	s.runUntilAgreed("start", 0, 3*time.Second)
 	s.run(8 * time.Second)
 	for i, h := range s.hosts {
 		h.down = h.self.Cores < 0.5 && i%2 == 0
 	}
 	s.run(10 * time.Second)
-	if wrong := s.disagree(0); wrong != "" {
+	if wrong := s.disagreement(0); wrong != "" {
 		t.Error(wrong)
 	}
 	for _, h := range s.hosts {
 		for _, other := range h.table.Hosts(s.now) {
-			if !h.down && !other.Alive && !s.at[other.Beat.PeerAddress].down {
-				t.Fatalf("%s thinks %s dead, which lives", h.self.Host, other.Beat.Host)
+			if !h.down && !other.Alive && !s.byAddress[other.Beat.PeerAddress].down {
+				t.Fatalf("%s declared %s dead, which is alive", h.self.Host, other.Beat.Host)
 			}
 		}
 	}
 }
 
-// TestZoneCutOff: the hosts of a zone and the others lose each other, choose among
-// those they reach, and agree soon after the cut has healed.
-func TestZoneCutOff(t *testing.T) {
+// TestZonePartition separates one zone from the others by a network partition. Each side
+// must choose routing hosts among the hosts that it reaches, and both must agree soon after
+// the partition has ended.
+func TestZonePartition(t *testing.T) {
 	t.Parallel()
 	s := newSim(t, 4, 3, 34)
-	s.until("start", 0, 3*time.Second)
+	s.runUntilAgreed("start", 0, 3*time.Second)
 	s.run(8 * time.Second)
-	cut := func(name string) {
+	partition := func(name string) {
 		for _, h := range s.hosts {
 			if h.self.AvailabilityZone == "zone-3" {
-				h.cut = name
+				h.partition = name
 			}
 		}
 	}
-	cut("zone-3")
+	partition("zone-3")
 	s.run(6 * time.Second)
 	for _, h := range s.hosts {
 		for _, b := range h.table.View(s.now).Routing {
-			if other := s.at[b.PeerAddress]; other.cut != h.cut && other.self.Cores > 0.5 {
+			if other := s.byAddress[b.PeerAddress]; other.partition != h.partition && other.self.Cores > 0.5 {
 				t.Fatalf("%s still sends callers to %s", h.self.Host, b.Host)
 			}
 		}
 	}
-	cut("")
-	t.Logf("agreed after %v", s.until("the cut's end", 0, 4*time.Second))
+	partition("")
+	t.Logf("agreed after %v", s.runUntilAgreed("the cut's end", 0, 4*time.Second))
 }
 
-// TestFleetOfOneSize: no host is large, and the first three, which all know, are like
-// the others.
+// TestFleetOfOneSize covers a fleet without large hosts, whose seeds are like the others.
 func TestFleetOfOneSize(t *testing.T) {
 	t.Parallel()
 	s := newSim(t, 4, 0, 30)
-	t.Logf("agreed after %v", s.until("start", 4, 8*time.Second))
+	t.Logf("agreed after %v", s.runUntilAgreed("start", 4, 8*time.Second))
 	s.run(4 * time.Second)
 	n := len(s.hosts[7].table.View(s.now).Routing)
 	if n < 15 || n > 30 {
-		t.Errorf("%d hosts route", n)
+		t.Errorf("%d hosts route, want 15 to 30", n)
 	}
-	sent, heard, _ := s.load(4*time.Second, false)
-	if sent+heard > 20 {
-		t.Errorf("a standby host sends and hears %d datagrams a second", sent+heard)
+	sent, received, _ := s.maxRates(4*time.Second, false)
+	if sent+received > 20 {
+		t.Errorf("a standby host sends and receives %d datagrams per second", sent+received)
 	}
 }
 
-// TestRollingRestart: the hosts leave in turn and start again.
+// TestRollingRestart restarts the hosts one after another, each with a leave notice.
 func TestRollingRestart(t *testing.T) {
 	t.Parallel()
 	s := newSim(t, 4, 2, 20)
-	s.until("start", 0, 3*time.Second)
+	s.runUntilAgreed("start", 0, 3*time.Second)
 	for i := range s.hosts {
 		h := s.hosts[i]
 		h.table.SetState(true, true)
@@ -367,18 +370,18 @@
 		h.self.Incarnation++
 		h.start(s)
 	}
-	s.until("the end of the roll", 0, 4*time.Second)
+	s.runUntilAgreed("the end of the roll", 0, 4*time.Second)
 }
 
-// TestSharesOfHostsThatStartTogether: a host that knows of few others counts on a large
-// part of what all share. As a fleet starts at once, the parts add up to many times the
-// whole; 4 s later to no more than a tenth above it, in fleets of one size and in those
-// with many large hosts.
-func TestSharesOfHostsThatStartTogether(t *testing.T) {
+// TestSharesAfterSimultaneousStart bounds the sum of the shares that routing hosts assume.
+// Each assumes an equal share for every routing host that it sees. When a fleet starts at
+// once, hosts see few others and the shares add up to many times the whole. After 4 s the
+// sum may exceed 1 by no more than a tenth, in fleets of one size and with many large hosts.
+func TestSharesAfterSimultaneousStart(t *testing.T) {
 	t.Parallel()
 	const (
-		known = 4 * time.Second
-		most  = 1.1
+		settled = 4 * time.Second
+		maxSum  = 1.1
 	)
 	for _, fleet := range []struct{ large, small int }{{0, 30}, {10, 20}} {
 		t.Run(fmt.Sprint(fleet), func(t *testing.T) {
@@ -386,20 +389,20 @@
 			s := newSim(t, 4, fleet.large, fleet.small)
 			s.run(testInterval)
 			if sum := s.shares(); sum < 2 {
-				t.Errorf("the parts add up to %.2f at once, want what a start makes of them", sum)
+				t.Errorf("the shares add up to %.2f at once, want at least 2 because hosts see few others", sum)
 			}
-			s.run(known - testInterval)
+			s.run(settled - testInterval)
 			for range 20 {
 				s.run(testInterval)
-				if sum := s.shares(); sum > most {
-					t.Errorf("the parts add up to %.2f after %v", sum, s.now.Sub(time.Unix(1_000_000, 0)))
+				if sum := s.shares(); sum > maxSum {
+					t.Errorf("the shares add up to %.2f after %v", sum, s.now.Sub(time.Unix(1_000_000, 0)))
 				}
 			}
 		})
 	}
 }
 
-// shares returns the sum of the parts on which live routing hosts count.
+// shares returns the sum of the shares that live routing hosts assume.
 func (s *sim) shares() float64 {
 	sum := 0.0
 	for _, h := range s.hosts {
--- a/internal/member/gossip.go
+++ b/internal/member/gossip.go
@@ -16,71 +16,72 @@
 )
 
 const (
-	// maxDatagram bounds a heartbeat: a datagram that fits into one packet of every
-	// usual path is lost alone, one in fragments with any of them.
-	maxDatagram = 1200
-	// receiveBytes is room for any datagram.
-	receiveBytes = 64 << 10
+	// maxDatagramBytes limits the size of a heartbeat so that it fits into one packet on
+	// common network paths: a fragmented datagram is lost if any fragment is lost.
+	maxDatagramBytes = 1200
+	// receiveBufferBytes is the size of the receive buffer, large enough for any UDP datagram.
+	receiveBufferBytes = 64 << 10
 )
 
 // Gossip sends and receives heartbeats over UDP.
 type Gossip struct {
 	conn *net.UDPConn
 	log  *logrus.Logger
-	// unread, unsent and unencoded bound the lines on heartbeats, which grow with the hosts.
-	unread, unsent, unencoded obs.Limiter
-	// Sent is told of each datagram that is sent; it may be nil and is set before use.
+	// undecodable, badAddress and unencoded rate-limit log lines about heartbeats, whose
+	// number grows with the fleet.
+	undecodable, badAddress, unencoded obs.Limiter
+	// Sent is called for each datagram that is sent. It may be nil and is set before use.
 	Sent func(to string, bytes int)
 }
 
-// NewGossip returns heartbeats over a socket, which Close closes.
+// NewGossip returns a Gossip on a socket, which Close closes.
 func NewGossip(conn *net.UDPConn, log *logrus.Logger) *Gossip {
 	return &Gossip{conn: conn, log: log}
 }
 
-// Close ends Receive.
+// Close closes the socket, which makes Receive return.
 func (g *Gossip) Close() error { return errors.Wrap(g.conn.Close(), "close the heartbeat socket") }
 
-// Receive calls heard for each heartbeat until the socket is closed.
-func (g *Gossip) Receive(ctx context.Context, heard func(*pb.Heartbeat)) {
-	buf := make([]byte, receiveBytes)
+// Receive calls handle for each received heartbeat until the socket is closed.
+func (g *Gossip) Receive(ctx context.Context, handle func(*pb.Heartbeat)) {
+	buf := make([]byte, receiveBufferBytes)
 	for ctx.Err() == nil {
 		n, _, err := g.conn.ReadFromUDPAddrPort(buf)
 		if err != nil {
 			if ctx.Err() != nil || errors.Is(err, net.ErrClosed) {
 				return
 			}
-			// A refused datagram of another host shows up here; heartbeats go on.
+			// ICMP errors for datagrams that this host sent are reported here too; keep receiving.
 			g.log.WithError(err).Debug("heartbeat not received")
 			time.Sleep(time.Millisecond)
 			continue
 		}
-		g.take(buf[:n], heard)
+		g.decode(buf[:n], handle)
 	}
 }
 
-func (g *Gossip) take(data []byte, heard func(*pb.Heartbeat)) {
+func (g *Gossip) decode(data []byte, handle func(*pb.Heartbeat)) {
 	b := &pb.Heartbeat{}
 	if err := proto.Unmarshal(data, b); err != nil {
-		if others, ok := g.unread.Allow(clock.Now()); ok {
-			g.log.WithError(err).WithField("others", others).Warn("malformed heartbeat dropped")
+		if suppressed, ok := g.undecodable.Allow(clock.Now()); ok {
+			g.log.WithError(err).WithField("others", suppressed).Warn("malformed heartbeat dropped")
 		}
 		return
 	}
-	heard(b)
+	handle(b)
 }
 
-// Send sends heartbeats to each address. A datagram that is lost is made up for by
-// the next ones.
-func (g *Gossip) Send(beats []*pb.Heartbeat, to []string) {
+// Send sends heartbeats to each address. Lost datagrams are not resent: later heartbeats
+// make up for them.
+func (g *Gossip) Send(heartbeats []*pb.Heartbeat, to []string) {
 	if len(to) == 0 {
 		return
 	}
-	for _, b := range beats {
+	for _, b := range heartbeats {
 		data, err := proto.Marshal(b)
 		if err != nil {
-			if others, ok := g.unencoded.Allow(clock.Now()); ok {
-				g.log.WithError(err).WithField("others", others).Error("heartbeat not encoded")
+			if suppressed, ok := g.unencoded.Allow(clock.Now()); ok {
+				g.log.WithError(err).WithField("others", suppressed).Error("heartbeat not encoded")
 			}
 			continue
 		}
@@ -93,8 +94,8 @@
 func (g *Gossip) send(data []byte, address string) {
 	to, err := netip.ParseAddrPort(address)
 	if err != nil {
-		if others, ok := g.unsent.Allow(clock.Now()); ok {
-			g.log.WithError(err).WithFields(logrus.Fields{"address": address, "others": others}).Warn("malformed peer address")
+		if suppressed, ok := g.badAddress.Allow(clock.Now()); ok {
+			g.log.WithError(err).WithFields(logrus.Fields{"address": address, "others": suppressed}).Warn("malformed peer address")
 		}
 		return
 	}
--- a/internal/member/gossip_test.go
+++ b/internal/member/gossip_test.go
@@ -12,18 +12,18 @@
 	pb "github.com/briarlink/briarlink/api/briarlink/v1"
 )
 
-// TestMalformedHeartbeatsAreALineASecond: a routing host hears some 174 datagrams a second
-// at 300 hosts and wrote a line, of those for which the log keeps room, about each that it
-// could not read. Hosts of another version, or one sender, took the room of failed requests'
-// lines.
-func TestMalformedHeartbeatsAreALineASecond(t *testing.T) {
+// TestMalformedHeartbeatsAreRateLimitedInTheLog guards the rate limit of log lines about
+// malformed heartbeats. At 300 hosts a routing host receives some 174 datagrams per second
+// and logged each that it could not decode, so that hosts of another version, or a single
+// sender, used up the capacity of the log and lines about failed requests were dropped.
+func TestMalformedHeartbeatsAreRateLimitedInTheLog(t *testing.T) {
 	const (
-		heard   = 174
-		seconds = 10
+		perSecond = 174
+		seconds   = 10
 	)
-	for name, bad := range map[string]func(*Gossip){
+	for name, trigger := range map[string]func(*Gossip){
 		"malformed heartbeat dropped": func(g *Gossip) {
-			g.take([]byte("no heartbeat"), func(*pb.Heartbeat) { t.Error("it was heard") })
+			g.decode([]byte("no heartbeat"), func(*pb.Heartbeat) { t.Error("a malformed heartbeat was delivered") })
 		},
 		"malformed peer address": func(g *Gossip) { g.send(nil, "nowhere") },
 		"heartbeat not encoded": func(g *Gossip) {
@@ -35,16 +35,16 @@
 			log := logrus.New()
 			log.SetOutput(&out)
 			g := NewGossip(nil, log)
-			for range heard * seconds {
-				bad(g)
-				time.Sleep(time.Second / heard)
+			for range perSecond * seconds {
+				trigger(g)
+				time.Sleep(time.Second / perSecond)
 			}
 			t.Logf("%s: %d lines in %d s", name, strings.Count(out.String(), name), seconds)
 			if got := strings.Count(out.String(), name); got < seconds-1 || got > seconds {
 				t.Errorf("%s: %d lines in %d s", name, got, seconds)
 			}
 			if !strings.Contains(out.String(), "others=173") && !strings.Contains(out.String(), "others=174") {
-				t.Errorf("%s: the others are not counted", name)
+				t.Errorf("%s: the number of suppressed lines is not reported", name)
 			}
 		})
 	}
--- a/internal/member/routing.go
+++ b/internal/member/routing.go
@@ -6,76 +6,77 @@
 )
 
 const (
-	// largeShare of the processor time that the largest host of a small fleet gives makes
-	// a host a large one: it tells large hosts from small ones, and not hosts of one size
-	// from each other. In a larger fleet the small ones are the measure.
-	largeShare = 0.5
-	// smallHosts is the number of hosts that must be small beside a large one in a larger
-	// fleet. Hosts that join can make others large, but none small, so that none of
-	// those that route is replaced by smaller ones; a few odd ones change nothing.
-	smallHosts = 8
-	// leastRouting is the number of large hosts below which small ones route too:
-	// four carry the callers of a site between them, even while one of them is slow.
-	leastRouting = 4
-	// FewHosts is the size of a fleet of which all hosts route where too few are
-	// large: so many can each tell every other of each long prompt.
+	// largeThreshold is the share of the largest host's cores from which a host of a small
+	// fleet counts as large. It separates distinct sizes of hosts, but not hosts of nominally
+	// equal size. In a larger fleet a host is compared with the small hosts instead.
+	largeThreshold = 0.5
+	// minSmallHosts is the number of hosts that must be small relative to a host for it to
+	// count as large in a larger fleet. A joining host can thus turn others into large hosts
+	// but never into small ones, so that no routing host is replaced by a smaller one, and a
+	// few outliers change nothing.
+	minSmallHosts = 8
+	// minLargeHosts is the number of large hosts below which small hosts route too. Four can
+	// carry the callers of a site even while one of them is slow.
+	minLargeHosts = 4
+	// FewHosts is the size up to which a fleet is small: all its hosts route if too few of
+	// them are large, as so many can notify each other of every long prompt.
 	FewHosts = 24
-	// fewShare of the processor time of a small fleet is what its large hosts must
-	// give together to carry what all are there for.
-	fewShare = 0.2
-	// fleetShare is the same for a larger fleet. Callers' requests take about a
-	// twentieth of a fleet's processor time; the hosts that serve them have three times
-	// as much for waves, and for what they tell each other.
+	// smallFleetShare is the share of a small fleet's cores that its large hosts must have
+	// together to carry its whole load on their own.
+	smallFleetShare = 0.2
+	// fleetShare is the share of a larger fleet's cores that the routing hosts must have.
+	// Callers' requests need about a twentieth of the fleet's CPU time; three times as much
+	// leaves room for load peaks and for the traffic between routing hosts.
 	fleetShare = 0.15
-	// zoneShare of a zone's processor time is what its own routing hosts give at the
-	// least, so that its callers need not leave it.
+	// zoneShare is the share of a zone's cores that its own routing hosts must have, so that
+	// its callers can stay in the zone.
 	zoneShare = 0.1
-	// zoneHosts is the least number of routing hosts of a zone: one may be lost.
-	zoneHosts = 2
-	// maxRouting bounds the routing hosts, but for zoneHosts of each zone: callers take so
-	// many addresses, and each routing host tells every other of what it sends.
+	// minZoneRouting is the minimum number of routing hosts per zone, so that one may be lost.
+	minZoneRouting = 2
+	// maxRouting limits the number of routing hosts, apart from minZoneRouting in each zone.
+	// Callers accept that many addresses, and each routing host notifies every other of the
+	// requests that it sends.
 	maxRouting = 64
 )
 
-// Candidate is a live host that may route.
+// Candidate is a live host that may be chosen to route.
 type Candidate struct {
 	ID   string
 	Zone string
-	// Cores is the processor time that the host gives, 0 where it does not say.
+	// Cores is the number of CPU cores that the host provides, 0 if it is not reported.
 	Cores float64
-	// Order is the host's place among hosts of its kind: the same everywhere, and
-	// without a meaning.
+	// Order breaks ties between hosts of equal size: an arbitrary number that is the same for
+	// a host on all hosts.
 	Order uint64
 }
 
-// Routing returns the hosts to which callers are sent, by ID: the large ones, or the
-// largest of them where they are too many, and as many small ones as are needed beside
-// them for a share of the processor time of the fleet and of each zone. What a host sends
-// to a replica must be known soon to all that route, which only so many can tell each
-// other; and the fewer are left of the large hosts, the more small ones follow, one by
-// one. All hosts that know of the same live ones choose alike.
-func Routing(hosts []Candidate) map[string]bool { return routingBeside(hosts, nil) }
+// Routing selects the hosts that callers are sent to, by ID: the large hosts, or the largest
+// of them if there are too many, and as many small hosts as are needed to reach a share of
+// the cores of the fleet and of each zone. The number is limited because all routing hosts
+// must learn quickly what any of them sends to a replica. As large hosts are lost, small
+// ones are added one by one. Hosts that see the same live hosts select the same ones.
+func Routing(hosts []Candidate) map[string]bool { return routingWithUnknown(hosts, nil) }
 
-// routingBeside is Routing where there are more live hosts than those known, which give so
-// much processor time in each zone.
-func routingBeside(hosts []Candidate, unknown map[string]float64) map[string]bool {
+// routingWithUnknown is Routing for a fleet that also has hosts outside the list, which
+// provide the given cores in each zone.
+func routingWithUnknown(hosts []Candidate, unknown map[string]float64) map[string]bool {
 	if len(hosts) <= FewHosts && len(unknown) == 0 {
-		return routingOfFew(hosts)
+		return routingOfSmallFleet(hosts)
 	}
-	hosts = inOrder(hosts)
-	c := newChoice(hosts, unknown)
+	hosts = sortedByOrder(hosts)
+	c := newSelection(hosts, unknown)
 	for _, zone := range c.zones {
-		c.reserve(zone)
+		c.reserveMinimum(zone)
 	}
-	c.takeLarge(hosts)
-	c.fill(func(zone string) bool { return c.short(zone, zoneShare, zoneHosts) })
-	c.fill(func(string) bool { return c.short("", fleetShare, leastRouting) })
+	c.selectLarge(hosts)
+	c.fill(func(zone string) bool { return c.belowMinimum(zone, zoneShare, minZoneRouting) })
+	c.fill(func(string) bool { return c.belowMinimum("", fleetShare, minLargeHosts) })
 	return c.chosen
 }
 
-func routingOfFew(hosts []Candidate) map[string]bool {
-	large, _ := bySize(hosts)
-	if len(large) < leastRouting || coresOf(large) < coresOf(hosts)*fewShare {
+func routingOfSmallFleet(hosts []Candidate) map[string]bool {
+	large, _ := splitBySize(hosts)
+	if len(large) < minLargeHosts || totalCores(large) < totalCores(hosts)*smallFleetShare {
 		large = hosts
 	}
 	chosen := map[string]bool{}
@@ -85,7 +86,7 @@
 	return chosen
 }
 
-func coresOf(hosts []Candidate) float64 {
+func totalCores(hosts []Candidate) float64 {
 	sum := 0.0
 	for _, h := range hosts {
 		sum += h.Cores
@@ -93,15 +94,14 @@
 	return sum
 }
 
-// bySize parts hosts into the large ones and the others; where all are of one size,
-// all are large.
-func bySize(hosts []Candidate) (large, small []Candidate) {
-	most := 0.0
+// splitBySize separates large hosts from the others. Hosts of equal size are all large.
+func splitBySize(hosts []Candidate) (large, small []Candidate) {
+	maxCores := 0.0
 	for _, h := range hosts {
-		most = max(most, h.Cores)
+		maxCores = max(maxCores, h.Cores)
 	}
 	for _, h := range hosts {
-		if h.Cores >= most*largeShare {
+		if h.Cores >= maxCores*largeThreshold {
 			large = append(large, h)
 		} else {
 			small = append(small, h)
@@ -110,22 +110,23 @@
 	return large, small
 }
 
-// choice is a choice under way.
-type choice struct {
-	// zones are in the order of their names; each zone's hosts are in the order in which
-	// they are taken, and taken counts those that were looked at.
-	zones  []string
-	ranked map[string][]Candidate
-	taken  map[string]int
-	chosen map[string]bool
-	// given and all are the processor time of the chosen hosts and of all; by zone
-	// and, under the empty name, of the fleet.
-	given, all map[string]float64
-	count      map[string]int
+// selection is the state of a selection of routing hosts.
+type selection struct {
+	// zones are sorted by name. ranked holds each zone's hosts, largest first, and considered
+	// is how many of them were examined.
+	zones      []string
+	ranked     map[string][]Candidate
+	considered map[string]int
+	chosen     map[string]bool
+	// chosenCores and totalCores are the cores of the chosen hosts and of all hosts, by zone
+	// and, under the empty name, for the fleet. chosenCount is the number of chosen hosts by
+	// the same keys.
+	chosenCores, totalCores map[string]float64
+	chosenCount             map[string]int
 }
 
-// inOrder returns hosts in the order that is the same everywhere.
-func inOrder(hosts []Candidate) []Candidate {
+// sortedByOrder returns the hosts sorted by Order.
+func sortedByOrder(hosts []Candidate) []Candidate {
 	order := func(a, b Candidate) int { return cmp.Or(cmp.Compare(a.Order, b.Order), cmp.Compare(a.ID, b.ID)) }
 	if slices.IsSortedFunc(hosts, order) {
 		return hosts
@@ -133,17 +134,17 @@
 	return slices.SortedFunc(slices.Values(hosts), order)
 }
 
-func newChoice(hosts []Candidate, unknown map[string]float64) *choice {
-	c := &choice{
-		ranked: map[string][]Candidate{}, taken: map[string]int{}, chosen: map[string]bool{},
-		given: map[string]float64{}, all: map[string]float64{}, count: map[string]int{},
+func newSelection(hosts []Candidate, unknown map[string]float64) *selection {
+	c := &selection{
+		ranked: map[string][]Candidate{}, considered: map[string]int{}, chosen: map[string]bool{},
+		chosenCores: map[string]float64{}, totalCores: map[string]float64{}, chosenCount: map[string]int{},
 	}
 	for _, h := range hosts {
-		if _, known := c.all[h.Zone]; !known {
+		if _, known := c.totalCores[h.Zone]; !known {
 			c.zones = append(c.zones, h.Zone)
 		}
-		c.all[h.Zone] += size(h)
-		c.all[""] += size(h)
+		c.totalCores[h.Zone] += effectiveCores(h)
+		c.totalCores[""] += effectiveCores(h)
 		c.ranked[h.Zone] = append(c.ranked[h.Zone], h)
 	}
 	slices.Sort(c.zones)
@@ -151,128 +152,132 @@
 		slices.SortStableFunc(c.ranked[zone], largerFirst)
 	}
 	for zone, cores := range unknown {
-		c.all[zone] += cores
-		c.all[""] += cores
+		c.totalCores[zone] += cores
+		c.totalCores[""] += cores
 	}
 	return c
 }
 
-func largerFirst(a, b Candidate) int { return cmp.Compare(size(b), size(a)) }
+func largerFirst(a, b Candidate) int { return cmp.Compare(effectiveCores(b), effectiveCores(a)) }
 
-// takeLarge takes the large hosts, beside those that zones have reserved: the largest of
-// them where they are too many. Where hardly any host is large, as many route as in a
-// small fleet, the largest first.
-func (c *choice) takeLarge(hosts []Candidate) {
-	large, rest := largeHosts(hosts), maxRouting
-	if len(large) < leastRouting {
-		large, rest = hosts, FewHosts-len(c.chosen)
+// selectLarge selects the large hosts in addition to those reserved for zones, or the
+// largest of them if there are too many. If fewer than minLargeHosts hosts are large, it
+// selects hosts up to FewHosts in all, the largest first.
+func (c *selection) selectLarge(hosts []Candidate) {
+	large, limit := largeHosts(hosts), maxRouting
+	if len(large) < minLargeHosts {
+		large, limit = hosts, FewHosts-len(c.chosen)
 	}
 	large = slices.DeleteFunc(slices.Clone(large), func(h Candidate) bool { return c.chosen[h.ID] })
-	for _, h := range largest(large, max(0, rest)) {
-		c.take(h)
+	for _, h := range largest(large, max(0, limit)) {
+		c.selectHost(h)
 	}
 }
 
-// largeHosts returns the hosts beside which enough are small.
+// largeHosts returns the hosts relative to which at least minSmallHosts hosts are small.
 func largeHosts(hosts []Candidate) []Candidate {
 	sizes := make([]float64, len(hosts))
 	for i, h := range hosts {
-		sizes[i] = size(h)
+		sizes[i] = effectiveCores(h)
 	}
 	slices.Sort(sizes)
-	least := sizes[min(smallHosts, len(sizes))-1] / largeShare
+	minCores := sizes[min(minSmallHosts, len(sizes))-1] / largeThreshold
 	var large []Candidate
 	for _, h := range hosts {
-		if size(h) >= least {
+		if effectiveCores(h) >= minCores {
 			large = append(large, h)
 		}
 	}
 	return large
 }
 
-// largest returns the n largest hosts; of those of one size, the zones' in turn.
+// largest returns the n largest hosts. Ties are resolved by taking zones in turn.
 func largest(hosts []Candidate, n int) []Candidate {
 	if len(hosts) <= n {
 		return hosts
 	}
-	places := placesInZones(hosts)
+	preceding := precedingInZone(hosts)
 	sorted := slices.SortedFunc(slices.Values(hosts), func(a, b Candidate) int {
-		return cmp.Or(largerFirst(a, b), cmp.Compare(places[a.ID], places[b.ID]), cmp.Compare(a.Order, b.Order), cmp.Compare(a.ID, b.ID))
+		return cmp.Or(largerFirst(a, b), cmp.Compare(preceding[a.ID], preceding[b.ID]), cmp.Compare(a.Order, b.Order), cmp.Compare(a.ID, b.ID))
 	})
 	return sorted[:n]
 }
 
-// placesInZones returns how many hosts of its size and zone come before each. Unlike a part
-// of the zone's hosts, it is the same for all who know these few.
-func placesInZones(hosts []Candidate) map[string]int {
-	type kind struct {
+// precedingInZone returns, for each host, how many hosts of the same size and zone precede
+// it. Unlike a share of the zone's hosts, this is the same on every host that knows the
+// given ones.
+func precedingInZone(hosts []Candidate) map[string]int {
+	type group struct {
 		zone  string
 		cores float64
 	}
-	before := map[kind]int{}
-	places := make(map[string]int, len(hosts))
+	counts := map[group]int{}
+	preceding := make(map[string]int, len(hosts))
 	for _, h := range hosts {
-		k := kind{h.Zone, size(h)}
-		places[h.ID] = before[k]
-		before[k]++
+		g := group{h.Zone, effectiveCores(h)}
+		preceding[h.ID] = counts[g]
+		counts[g]++
 	}
-	return places
+	return preceding
 }
 
-// size is what a host counts for; hosts that do not say are alike.
-func size(h Candidate) float64 {
+// effectiveCores returns the cores of a host, or 1 if they are not reported.
+func effectiveCores(h Candidate) float64 {
 	if h.Cores <= 0 {
 		return 1
 	}
 	return h.Cores
 }
 
-func (c *choice) take(h Candidate) {
+func (c *selection) selectHost(h Candidate) {
 	c.chosen[h.ID] = true
 	for _, scope := range []string{h.Zone, ""} {
-		c.given[scope] += size(h)
-		c.count[scope]++
+		c.chosenCores[scope] += effectiveCores(h)
+		c.chosenCount[scope]++
 	}
 }
 
-// next takes the next host of a zone that is not chosen and reports whether there was
-// one.
-func (c *choice) next(zone string) bool {
+// selectNext selects the next host of a zone that is not chosen yet, and reports whether
+// there was one.
+func (c *selection) selectNext(zone string) bool {
 	hosts := c.ranked[zone]
-	for c.taken[zone] < len(hosts) {
-		h := hosts[c.taken[zone]]
-		c.taken[zone]++
+	for c.considered[zone] < len(hosts) {
+		h := hosts[c.considered[zone]]
+		c.considered[zone]++
 		if !c.chosen[h.ID] {
-			c.take(h)
+			c.selectHost(h)
 			return true
 		}
 	}
 	return false
 }
 
-// takeFrom takes the next host of a zone while there is room, and reports whether it did.
-func (c *choice) takeFrom(zone string) bool {
-	return len(c.chosen) < maxRouting+zoneHosts*len(c.zones) && c.next(zone)
+// selectWithinLimit selects the next host of a zone unless the limit on routing hosts is
+// reached, and reports whether it selected one.
+func (c *selection) selectWithinLimit(zone string) bool {
+	return len(c.chosen) < maxRouting+minZoneRouting*len(c.zones) && c.selectNext(zone)
 }
 
-// short reports whether the chosen hosts of a scope are too few.
-func (c *choice) short(scope string, share float64, hosts int) bool {
-	return c.given[scope] < c.all[scope]*share || c.count[scope] < hosts
+// belowMinimum reports whether the hosts chosen for a zone, or for the fleet (""), provide
+// less than a share of its cores or are fewer than minHosts.
+func (c *selection) belowMinimum(scope string, share float64, minHosts int) bool {
+	return c.chosenCores[scope] < c.totalCores[scope]*share || c.chosenCount[scope] < minHosts
 }
 
-// reserve takes the least number of hosts of a zone.
-func (c *choice) reserve(zone string) {
-	for c.count[zone] < zoneHosts && c.next(zone) {
+// reserveMinimum selects the minimum number of routing hosts of a zone.
+func (c *selection) reserveMinimum(zone string) {
+	for c.chosenCount[zone] < minZoneRouting && c.selectNext(zone) {
 	}
 }
 
-// fill takes hosts of the zones in turn, of each as long as it is short.
-func (c *choice) fill(short func(zone string) bool) {
-	for took := true; took; {
-		took = false
+// fill selects hosts from the zones in turn, from each one as long as it is below its
+// minimum.
+func (c *selection) fill(belowMinimum func(zone string) bool) {
+	for progress := true; progress; {
+		progress = false
 		for _, zone := range c.zones {
-			if short(zone) {
-				took = c.takeFrom(zone) || took
+			if belowMinimum(zone) {
+				progress = c.selectWithinLimit(zone) || progress
 			}
 		}
 	}
--- a/internal/member/routing_test.go
+++ b/internal/member/routing_test.go
@@ -11,8 +11,8 @@
 	_ "github.com/briarlink/briarlink/test/fixedseed"
 )
 
-// hostsOf returns hosts of one zone that give so many cores each.
-func hostsOf(zone string, cores ...float64) []Candidate {
+// hostsWithCores returns hosts of one zone with the given cores.
+func hostsWithCores(zone string, cores ...float64) []Candidate {
 	var out []Candidate
 	for i, c := range cores {
 		id := fmt.Sprintf("%s-%d", zone, i)
@@ -21,18 +21,18 @@
 	return out
 }
 
-// fleet returns zones with so many large and small hosts each.
+// fleet returns hosts in the given number of zones, each with so many large and small ones.
 func fleet(zones, large, small int) []Candidate {
 	var out []Candidate
 	for z := range zones {
 		cores := append(slices.Repeat([]float64{0.8}, large), slices.Repeat([]float64{0.2}, small)...)
-		out = append(out, hostsOf(fmt.Sprint("z", z), cores...)...)
+		out = append(out, hostsWithCores(fmt.Sprint("z", z), cores...)...)
 	}
 	return out
 }
 
-// TestLargeHostsOfASmallFleetRoute: while enough of them are left; then all do,
-// and never none.
+// TestLargeHostsOfASmallFleetRoute checks that only large hosts of a small fleet route while
+// there are enough of them, and otherwise all hosts.
 func TestLargeHostsOfASmallFleetRoute(t *testing.T) {
 	for name, c := range map[string]struct {
 		cores []float64
@@ -47,15 +47,16 @@
 		"one":                                {[]float64{0.2}, 1},
 		"none":                               {nil, 0},
 	} {
-		if got := len(Routing(hostsOf("z", c.cores...))); got != c.want {
+		if got := len(Routing(hostsWithCores("z", c.cores...))); got != c.want {
 			t.Errorf("%s: %d hosts route, want %d", name, got, c.want)
 		}
 	}
 }
 
-// TestSmallHostsFollowOneByOne: a fleet of 300 loses its large hosts. With the rule
-// that all route once too few are large, 282 hosts told each other of every prompt.
-func TestSmallHostsFollowOneByOne(t *testing.T) {
+// TestSmallHostsReplaceLostLargeHostsGradually removes the large hosts of a fleet of 300 one
+// by one. When all hosts routed once too few were large, 282 hosts notified each other of
+// every prompt.
+func TestSmallHostsReplaceLostLargeHostsGradually(t *testing.T) {
 	hosts := fleet(6, 3, 47)
 	before := len(Routing(hosts))
 	if before != 18 {
@@ -66,7 +67,7 @@
 		hosts = slices.Delete(hosts, lost, lost+1)
 		now := Routing(hosts)
 		if grown := len(now) - before; grown > 6 {
-			t.Errorf("%d more hosts route once %d large ones are left", grown, left)
+			t.Errorf("%d more hosts route with %d large ones left", grown, left)
 		}
 		before = len(now)
 	}
@@ -75,7 +76,8 @@
 	}
 }
 
-// TestEveryZoneRoutes: callers need not leave a zone that has lost its large hosts.
+// TestEveryZoneRoutes checks that a zone without large hosts still has routing hosts, so
+// that its callers can stay in the zone.
 func TestEveryZoneRoutes(t *testing.T) {
 	hosts := slices.DeleteFunc(fleet(6, 3, 47), func(c Candidate) bool { return c.Zone == "z0" && c.Cores > 0.5 })
 	n := 0
@@ -84,41 +86,42 @@
 			n++
 		}
 	}
-	if n < zoneHosts || n > 8 {
+	if n < minZoneRouting || n > 8 {
 		t.Errorf("%d hosts of the zone route", n)
 	}
 }
 
-// TestFleetsOfOtherShapes: of one size, and with a single large host a zone.
+// TestFleetsOfOtherShapes covers fleets of one size and with a single large host per zone.
 func TestFleetsOfOtherShapes(t *testing.T) {
 	if n := len(Routing(fleet(6, 0, 50))); n < 40 || n > maxRouting {
 		t.Errorf("%d of 300 hosts of one size route", n)
 	}
 	if n := len(Routing(fleet(6, 1, 49))); n < 12 || n > maxRouting {
-		t.Errorf("%d hosts route with one large a zone", n)
+		t.Errorf("%d hosts route with one large host per zone", n)
 	}
 	if n := len(Routing(fleet(3, 30, 0))); n < 12 || n > 30 {
 		t.Errorf("%d of 90 hosts of one size route", n)
 	}
 }
 
-// TestZonesShareThePlaces: once all large hosts of a fleet of 985 are lost, four zones had
-// 16 routing hosts each and the last one 4.
-func TestZonesShareThePlaces(t *testing.T) {
-	part := map[string]int{}
+// TestZonesHaveSimilarNumbersOfRoutingHosts guards against an uneven distribution: once a
+// fleet of 985 had lost its large hosts, four zones had 16 routing hosts each and the last
+// one 4.
+func TestZonesHaveSimilarNumbersOfRoutingHosts(t *testing.T) {
+	count := map[string]int{}
 	for id := range Routing(fleet(6, 0, 154)) {
-		part[id[:2]]++
+		count[id[:2]]++
 	}
-	for zone, n := range part {
+	for zone, n := range count {
 		if n < 10 || n > 14 {
-			t.Errorf("%d hosts of %s route; all: %v", n, zone, part)
+			t.Errorf("%d hosts of %s route; all: %v", n, zone, count)
 		}
 	}
 }
 
-// TestRoutingDependsOnTheHostsAlone: in whichever order they are known, some route,
-// no more than can tell each other, and one more host changes few others.
-func TestRoutingDependsOnTheHostsAlone(t *testing.T) {
+// TestRoutingDoesNotDependOnOrder checks that the selection is not empty, respects
+// maxRouting, and does not depend on the order of the candidates.
+func TestRoutingDoesNotDependOnOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		hosts := fleet(rapid.IntRange(1, 6).Draw(t, "zones"), rapid.IntRange(0, 4).Draw(t, "large"), rapid.IntRange(1, 60).Draw(t, "small"))
 		want := Routing(hosts)
@@ -129,38 +132,40 @@
 		got := Routing(shuffled)
 		for id := range want {
 			if !got[id] {
-				t.Fatalf("%s routes in one order only", id)
+				t.Fatalf("%s routes in one order of the candidates but not in another", id)
 			}
 		}
 	})
 }
 
-// TestSpareLargeHostAddsCapacity: 64 hosts of 1.6 cores beside 925 of 0.192 routed 102
-// cores; with one more large host they were taken for a fleet of one size, of which 7 large
-// and 57 small hosts routed 22 cores.
-func TestSpareLargeHostAddsCapacity(t *testing.T) {
+// TestAddedLargeHostKeepsCapacity guards against an added large host reducing the routing
+// capacity. With 64 hosts of 1.6 cores and 925 of 0.192, 102 cores routed; with one more
+// large host the fleet was treated as one of equal sizes, and 7 large and 57 small hosts
+// routed, with 22 cores in all.
+func TestAddedLargeHostKeepsCapacity(t *testing.T) {
 	before := 0.0
 	for large := 4; large <= 130; large++ {
 		cores := append(slices.Repeat([]float64{1.6}, large), slices.Repeat([]float64{0.192}, 925)...)
-		now := capacity(hostsOf("z", cores...))
+		now := capacity(hostsWithCores("z", cores...))
 		if now < before-0.192 {
-			t.Errorf("%.1f cores route with %d large hosts, %.1f with one less", now, large, before)
+			t.Errorf("%.1f cores route with %d large hosts, %.1f with one fewer", now, large, before)
 		}
 		before = now
 	}
 }
 
-// TestTwentyFifthHostTakesNoCapacity: all of 24 hosts of one size routed, and 6 of 25.
-func TestTwentyFifthHostTakesNoCapacity(t *testing.T) {
+// TestAddedEqualHostKeepsCapacity checks that one more host of equal size never reduces the
+// number of routing hosts. Of 24 hosts all routed, but of 25 only 6.
+func TestAddedEqualHostKeepsCapacity(t *testing.T) {
 	for n := 1; n < 200; n++ {
-		one, more := Routing(hostsOf("z", slices.Repeat([]float64{0.4}, n)...)), Routing(hostsOf("z", slices.Repeat([]float64{0.4}, n+1)...))
+		one, more := Routing(hostsWithCores("z", slices.Repeat([]float64{0.4}, n)...)), Routing(hostsWithCores("z", slices.Repeat([]float64{0.4}, n+1)...))
 		if len(more) < len(one) {
-			t.Errorf("%d of %d hosts route, and %d of %d", len(one), n, len(more), n+1)
+			t.Errorf("%d of %d hosts route, but %d of %d", len(one), n, len(more), n+1)
 		}
 	}
 }
 
-// capacity returns the processor time that routes.
+// capacity returns the sum of the routing hosts' cores.
 func capacity(hosts []Candidate) float64 {
 	chosen, sum := Routing(hosts), 0.0
 	for _, h := range hosts {
@@ -171,14 +176,14 @@
 	return sum
 }
 
-// standsOut reports whether enough hosts are large.
-func standsOut(hosts []Candidate) bool {
+// hasEnoughLargeHosts reports whether at least minLargeHosts hosts are large.
+func hasEnoughLargeHosts(hosts []Candidate) bool {
 	var cores []float64
 	for _, h := range hosts {
 		cores = append(cores, h.Cores)
 	}
 	slices.Sort(cores)
-	return cores[len(cores)-leastRouting] >= cores[smallHosts-1]/largeShare
+	return cores[len(cores)-minLargeHosts] >= cores[minSmallHosts-1]/largeThreshold
 }
 
 func hostsIn(hosts []Candidate, zone string) int {
@@ -191,7 +196,7 @@
 	return n
 }
 
-// drawFleet draws a fleet of one to four sizes in zones of unlike sizes.
+// drawFleet draws a fleet of one to four sizes of hosts, in zones that differ in size.
 func drawFleet(t *rapid.T) []Candidate {
 	sizes := rapid.SliceOfN(rapid.SampledFrom([]float64{0.1, 0.192, 0.4, 0.8, 1.6, 4}), 1, 4).Draw(t, "sizes")
 	var hosts []Candidate
@@ -207,11 +212,12 @@
 	return hosts
 }
 
-// TestHostsThatJoinTakeNoCapacity: the processor time that routes falls by no more than the
-// smallest host that routed, as the need is met to within one host, whatever host joins. Left
-// out are fleets of FewHosts, and those in which hardly any host is large: many small ones
-// route until the large ones carry the fleet, and a zone that comes takes some places.
-func TestHostsThatJoinTakeNoCapacity(t *testing.T) {
+// TestJoiningHostKeepsCapacity checks that a joining host of any size reduces the routing
+// capacity by no more than the smallest routing host, the granularity of the selection. It
+// skips fleets of up to FewHosts hosts, and those in which hardly any host is large: there
+// many small hosts route until the large ones can carry the fleet, and a new zone takes some
+// of the slots.
+func TestJoiningHostKeepsCapacity(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		hosts := drawFleet(t)
 		if len(hosts) <= FewHosts {
@@ -220,31 +226,31 @@
 		zone := rapid.SampledFrom([]string{"z0", "z1", "z5", "new"}).Draw(t, "zone")
 		cores := rapid.SampledFrom([]float64{0.05, 0.1, 0.192, 0.4, 0.8, 1.6, 4, 16}).Draw(t, "cores")
 		joined := append(slices.Clone(hosts), Candidate{ID: "joins", Zone: zone, Cores: cores, Order: rapid.Uint64().Draw(t, "order")})
-		if !standsOut(hosts) && (standsOut(joined) || hostsIn(joined, zone) <= zoneHosts) {
+		if !hasEnoughLargeHosts(hosts) && (hasEnoughLargeHosts(joined) || hostsIn(joined, zone) <= minZoneRouting) {
 			return
 		}
-		chosen, least := Routing(hosts), 16.0
+		chosen, minCores := Routing(hosts), 16.0
 		for _, h := range hosts {
 			if chosen[h.ID] {
-				least = min(least, h.Cores)
+				minCores = min(minCores, h.Cores)
 			}
 		}
-		if before, after := capacity(hosts), capacity(joined); after < before-least-1e-9 {
+		if before, after := capacity(hosts), capacity(joined); after < before-minCores-1e-9 {
 			t.Fatalf("%.2f cores of %d hosts route, and %.2f once one of %.2f has joined", before, len(hosts), after, cores)
 		}
 		zones := map[string]bool{}
 		for _, h := range joined {
 			zones[h.Zone] = true
 		}
-		if most := maxRouting + zoneHosts*len(zones); len(Routing(joined)) > most {
-			t.Fatalf("%d hosts route, want %d at the most", len(Routing(joined)), most)
+		if limit := maxRouting + minZoneRouting*len(zones); len(Routing(joined)) > limit {
+			t.Fatalf("%d hosts route, want at most %d", len(Routing(joined)), limit)
 		}
 	})
 }
 
-// TestLargeHostsChangePlacesOneByOne: where there are more large hosts than route, one that
-// joins takes the place of one other in each zone at the most, and each zone has as many.
-func TestLargeHostsChangePlacesOneByOne(t *testing.T) {
+// TestJoiningLargeHostReplacesFewHosts checks that, with more large hosts than can route, a
+// joining one replaces at most one host per zone, and that zones have about equally many.
+func TestJoiningLargeHostReplacesFewHosts(t *testing.T) {
 	hosts := append(fleet(3, 100, 50), fleet(6, 20, 50)...)
 	for i := range hosts {
 		hosts[i].ID = fmt.Sprint(hosts[i].ID, "-", i)
@@ -261,19 +267,19 @@
 			}
 		}
 		if lost > 6 {
-			t.Errorf("%d of %d hosts route no more once one has joined", lost, len(before))
+			t.Errorf("%d of %d hosts no longer route once one has joined", lost, len(before))
 		}
 		before = now
 	}
-	part := map[string]int{}
+	count := map[string]int{}
 	for _, h := range hosts {
 		if before[h.ID] {
-			part[h.Zone]++
+			count[h.Zone]++
 		}
 	}
-	for zone, n := range part {
-		if n < maxRouting/6 || n > maxRouting/6+1+zoneHosts {
-			t.Errorf("%d hosts of %s route; all: %v", n, zone, part)
+	for zone, n := range count {
+		if n < maxRouting/6 || n > maxRouting/6+1+minZoneRouting {
+			t.Errorf("%d hosts of %s route; all: %v", n, zone, count)
 		}
 	}
 }
--- a/internal/member/split_test.go
+++ b/internal/member/split_test.go
@@ -9,9 +9,10 @@
 	pb "github.com/briarlink/briarlink/api/briarlink/v1"
 )
 
-// TestEveryDatagramFitsIntoAPacket: a host with work at 5,300 replicas, hundreds of
-// them down, tells all of it, in order, in datagrams of one packet each.
-func TestEveryDatagramFitsIntoAPacket(t *testing.T) {
+// TestSplitHeartbeatsFitIntoPackets checks that a host with requests at 5,300 replicas,
+// hundreds of them down, reports them all in order, in datagrams that each fit into one
+// packet.
+func TestSplitHeartbeatsFitIntoPackets(t *testing.T) {
 	whole := &pb.Heartbeat{Host: "edge-heredia-a-1", Incarnation: 7, AvailabilityZone: "heredia-a", Routing: true, Positions: []*pb.TopicPosition{{Topic: "keyed.op", End: 900}}}
 	whole.Named = []*pb.NamedWeights{{Model: "m", Version: 2, AgeMs: 700}}
 	const replicas = 5300
@@ -26,11 +27,11 @@
 	sequence := uint64(40)
 	joined := &pb.Heartbeat{}
 	for i, part := range Split(whole, func() uint64 { sequence++; return sequence }) {
-		if size := proto.Size(part); size > maxDatagram {
-			t.Fatalf("datagram %d has %d bytes", i, size)
+		if size := proto.Size(part); size > maxDatagramBytes {
+			t.Fatalf("datagram %d has %d bytes, more than the limit", i, size)
 		}
 		if part.Host != whole.Host || !part.Routing || len(part.Positions) != 1 || part.Sequence != uint64(41+i) {
-			t.Fatalf("datagram %d is from %s with number %d", i, part.Host, part.Sequence)
+			t.Fatalf("datagram %d has host %s and sequence number %d", i, part.Host, part.Sequence)
 		}
 		joined.Loads = append(joined.Loads, part.Loads...)
 		joined.Down = append(joined.Down, part.Down...)
--- a/internal/member/summary.go
+++ b/internal/member/summary.go
@@ -9,74 +9,75 @@
 )
 
 const (
-	// maxPassedOn is the number of standby hosts that other standby hosts are passed on.
-	// To know all of a large fleet would take each as long as the fleet is large; what
-	// they need is how many there are, and who routes next.
-	maxPassedOn = 128
-	// successorsAge is how long the choice of these is used.
-	successorsAge = time.Second
+	// maxStandbySubset limits the number of standby hosts whose states are relayed to other
+	// standby hosts. In a large fleet, relaying all of them would take time proportional to
+	// its size; standby hosts only need the total number and the hosts that would route next.
+	maxStandbySubset = 128
+	// standbySubsetTTL is how long the selection of these hosts is cached.
+	standbySubsetTTL = time.Second
 )
 
-// recentChange is how long a host whose state has changed is passed on first.
-const recentChange = 2 * time.Second
+// recentChangeWindow is how long after a change of its state a host is relayed first.
+const recentChangeWindow = 2 * time.Second
 
-// zoneSummary counts the live standby hosts of a zone, as a routing host reported them.
+// zoneSummary is the number of live standby hosts of a zone and their cores, as reported by
+// a routing host.
 type zoneSummary struct {
-	hosts int
-	cores float64
-	at    time.Time
+	hosts      int
+	cores      float64
+	reportedAt time.Time
 }
 
-// Standby returns how many standby hosts live in each zone, for other standby hosts; none
-// where these are passed on all.
+// Standby returns the number of live standby hosts of each zone, to be sent to standby
+// hosts. It returns nil if these are sent the states of all of them.
 func (t *Table) Standby(now time.Time) []*pb.ZoneHosts {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	v := t.viewAt(now)
-	if !v.Here || v.Live-len(v.Routing) <= maxPassedOn {
+	if !v.Here || v.Live-len(v.Routing) <= maxStandbySubset {
 		return nil
 	}
 	byZone := map[string]*pb.ZoneHosts{}
 	var out []*pb.ZoneHosts
-	for h := range t.known() {
-		if !h.chosen.IsZero() || h.beat.Leaving || !t.alive(h, now) {
+	for h := range t.otherHosts() {
+		if !h.routingSince.IsZero() || h.heartbeat.Leaving || !t.alive(h, now) {
 			continue
 		}
-		z := byZone[h.beat.AvailabilityZone]
-		if z == nil {
-			z = &pb.ZoneHosts{AvailabilityZone: h.beat.AvailabilityZone}
-			byZone[z.AvailabilityZone] = z
-			out = append(out, z)
+		counts := byZone[h.heartbeat.AvailabilityZone]
+		if counts == nil {
+			counts = &pb.ZoneHosts{AvailabilityZone: h.heartbeat.AvailabilityZone}
+			byZone[counts.AvailabilityZone] = counts
+			out = append(out, counts)
 		}
-		z.Hosts++
-		z.Cores += h.beat.Cores
+		counts.Hosts++
+		counts.Cores += h.heartbeat.Cores
 	}
 	return out
 }
 
-// AddDigest adds a digest of the routing hosts that this one has just heard. Where many
-// route, a standby host would take those for dead whose states come late in turn.
+// AddDigest adds to a heartbeat a digest of the routing hosts seen recently. If there are
+// many, their states are relayed too rarely to keep standby hosts from declaring them dead.
 func (t *Table) AddDigest(b *pb.Heartbeat, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	v := t.viewAt(now)
-	if !v.Here || len(v.Routing) <= statesRouting {
+	if !v.Here || len(v.Routing) <= maxRoutingStates {
 		return
 	}
-	oldest := time.Duration(0)
-	for h := range t.known() {
-		age := now.Sub(h.heard)
-		if h.chosen.IsZero() || !h.direct || age >= t.deadAfter/2 {
+	maxAge := time.Duration(0)
+	for h := range t.otherHosts() {
+		age := now.Sub(h.lastSeen)
+		if h.routingSince.IsZero() || !h.direct || age >= t.deadAfter/2 {
 			continue
 		}
-		b.Digest = append(b.Digest, stateHash(h.beat))
-		oldest = max(oldest, age)
+		b.Digest = append(b.Digest, stateHash(h.heartbeat))
+		maxAge = max(maxAge, age)
 	}
-	b.DigestAgeMs = oldest.Milliseconds()
+	b.DigestAgeMs = maxAge.Milliseconds()
 }
 
-// takeDigest refreshes the hosts that another one has just heard, by its digest.
-func (t *Table) takeDigest(b *pb.Heartbeat, now time.Time) {
+// applyDigest refreshes the hosts that the sender of a heartbeat has seen recently.
+func (t *Table) applyDigest(b *pb.Heartbeat, now time.Time) {
 	if len(b.Digest) == 0 {
 		return
 	}
@@ -85,14 +86,14 @@
 		sums[sum] = true
 	}
 	at := now.Add(-time.Duration(b.DigestAgeMs) * time.Millisecond)
-	for h := range t.known() {
-		if !h.dead && sums[stateHash(h.beat)] {
-			h.heard = latest(h.heard, at)
+	for h := range t.otherHosts() {
+		if !h.dead && sums[stateHash(h.heartbeat)] {
+			h.lastSeen = latest(h.lastSeen, at)
 		}
 	}
 }
 
-// stateHash tells the states of hosts apart.
+// stateHash returns a hash of a host's ID, incarnation and state.
 func stateHash(b *pb.Heartbeat) uint32 {
 	seed := b.Incarnation << 2
 	if b.Ready {
@@ -104,71 +105,72 @@
 	return uint32(xxh3.HashStringSeed(b.Host, seed))
 }
 
-// takeSummaries stores a routing host's counts of the standby hosts.
-func (t *Table) takeSummaries(zones []*pb.ZoneHosts, now time.Time) {
+// applySummaries records a routing host's counts of standby hosts.
+func (t *Table) applySummaries(zones []*pb.ZoneHosts, now time.Time) {
 	for _, z := range zones {
-		t.summaries[z.AvailabilityZone] = zoneSummary{hosts: int(z.Hosts), cores: z.Cores, at: now}
+		t.summaries[z.AvailabilityZone] = zoneSummary{hosts: int(z.Hosts), cores: z.Cores, reportedAt: now}
 	}
 }
 
-// unknown returns how many hosts live beside the known ones, as routing hosts reported, and
-// the processor time that they give in each zone.
-func (t *Table) unknown(live []*host, now time.Time) (hosts int, cores map[string]float64) {
+// unknownHosts returns the number of live hosts that routing hosts have counted but this
+// host has no record of, and the cores that they provide in each zone.
+func (t *Table) unknownHosts(live []*host, now time.Time) (hosts int, cores map[string]float64) {
 	if len(t.summaries) == 0 {
 		return 0, nil
 	}
 	cores = map[string]float64{}
-	left := map[string]zoneSummary{}
+	remaining := map[string]zoneSummary{}
 	for zone, summary := range t.summaries {
-		if now.Sub(summary.at) < relayedStandbySilence {
-			left[zone] = summary
+		if now.Sub(summary.reportedAt) < relayedStandbyTimeout {
+			remaining[zone] = summary
 		}
 	}
 	for _, h := range live {
-		zone := h.beat.AvailabilityZone
-		z, counted := left[zone]
-		// A host that routes only since then was counted on standby.
-		if counted && (h.chosen.IsZero() || h.chosen.After(z.at)) {
-			z.hosts--
-			z.cores -= h.beat.Cores
-			left[zone] = z
+		zone := h.heartbeat.AvailabilityZone
+		summary, counted := remaining[zone]
+		// A host that started routing after the report was counted as standby in it.
+		if counted && (h.routingSince.IsZero() || h.routingSince.After(summary.reportedAt)) {
+			summary.hosts--
+			summary.cores -= h.heartbeat.Cores
+			remaining[zone] = summary
 		}
 	}
-	for zone, z := range left {
-		if z.hosts > 0 {
-			hosts += z.hosts
-			cores[zone] = max(0, z.cores)
+	for zone, summary := range remaining {
+		if summary.hosts > 0 {
+			hosts += summary.hosts
+			cores[zone] = max(0, summary.cores)
 		}
 	}
 	return hosts, cores
 }
 
-// passedOn returns the standby hosts that other standby hosts are passed on: in a large
-// fleet those that route once the routing hosts are lost, and the first of the others.
-func (t *Table) passedOn(others []*host, now time.Time) []*host {
-	if len(others) <= maxPassedOn {
+// selectStandbySubset returns the standby hosts whose states are relayed to other standby
+// hosts. In a large fleet these are the hosts that would route if all routing hosts were
+// lost, and then others up to the limit.
+func (t *Table) selectStandbySubset(others []*host, now time.Time) []*host {
+	if len(others) <= maxStandbySubset {
 		return others
 	}
-	if now.Sub(t.succeeded) < successorsAge {
-		return t.successors
+	if now.Sub(t.standbySubsetAt) < standbySubsetTTL {
+		return t.standbySubset
 	}
-	chosen := t.choose(candidatesOf(others), nil)
-	first := make([]*host, 0, maxPassedOn)
-	for _, next := range []bool{true, false} {
+	chosen := t.selectRouting(candidatesOf(others), nil)
+	subset := make([]*host, 0, maxStandbySubset)
+	for _, routes := range []bool{true, false} {
 		for _, h := range others {
-			if chosen[h.beat.Host] == next && len(first) < maxPassedOn {
-				first = append(first, h)
+			if chosen[h.heartbeat.Host] == routes && len(subset) < maxStandbySubset {
+				subset = append(subset, h)
 			}
 		}
 	}
-	t.successors, t.succeeded = first, now
-	return first
+	t.standbySubset, t.standbySubsetAt = subset, now
+	return subset
 }
 
 func candidatesOf(hosts []*host) []Candidate {
 	out := make([]Candidate, len(hosts))
 	for i, h := range hosts {
-		out[i] = Candidate{ID: h.beat.Host, Zone: h.beat.AvailabilityZone, Cores: h.beat.Cores, Order: h.order}
+		out[i] = Candidate{ID: h.heartbeat.Host, Zone: h.heartbeat.AvailabilityZone, Cores: h.heartbeat.Cores, Order: h.order}
 	}
 	return out
 }
--- a/internal/member/table.go
+++ b/internal/member/table.go
@@ -1,10 +1,11 @@
-// Package member keeps the table of entry hosts and decides who tells whom.
+// Package member maintains the membership table of entry hosts and selects the recipients of
+// each heartbeat.
 //
-// In a small fleet every host tells every other. In a larger one the routing
-// hosts, to which callers are sent, tell each other; each other host, on standby,
-// tells two routing hosts, its relays, and hears from them of all the rest. What a
-// host sends and receives is bounded by the number of routing hosts, not by that of
-// all hosts.
+// In a small fleet every host sends heartbeats to every other. In a larger one the routing
+// hosts, which accept callers, send heartbeats to each other. The remaining hosts are on
+// standby: each sends heartbeats only to two routing hosts, its relays, which report the
+// rest of the fleet to it. The traffic of a host is thus bounded by the number of routing
+// hosts, not by the size of the fleet.
 package member
 
 import (
@@ -20,110 +21,113 @@
 )
 
 const (
-	// relayedFactor times the silence of a dead host is how old other hosts' word of a
-	// routing host may be: it is passed on about once in half that time, and a datagram
-	// or two may be lost.
-	relayedFactor = 2.5
-	// standbySilence is how long a standby host may be silent that tells this one. Its
-	// life matters only once it is to route, and then it is heard of soon.
-	standbySilence = 30 * time.Second
-	// relayedStandbySilence is the same for standby hosts that tell others: with hundreds of
-	// them each is passed on every ten seconds or so.
-	relayedStandbySilence = time.Minute
-	// forgetAfter is the silence after which an address is given up.
-	forgetAfter = 3 * time.Minute
+	// relayedTimeoutFactor, times deadAfter, is the timeout of a routing host that is only
+	// seen through other hosts. Its state is relayed about once in half that time, and one or
+	// two datagrams may be lost.
+	relayedTimeoutFactor = 2.5
+	// standbyTimeout is the timeout of a standby host that sends heartbeats to this one. It
+	// can be long: whether the host is alive matters only once it is to route, and then
+	// reports of it arrive soon.
+	standbyTimeout = 30 * time.Second
+	// relayedStandbyTimeout is the timeout of a standby host that is only seen through others.
+	// With hundreds of standby hosts each is relayed about every ten seconds.
+	relayedStandbyTimeout = time.Minute
+	// probeTTL is how long an address without a live host is probed.
+	probeTTL = 3 * time.Minute
 )
 
-// Table is the membership table of one host. It is safe for concurrent use; mu
-// is its only lock and nothing else is locked under it.
+// Table is the membership table of one host. It is safe for concurrent use. mu is its only
+// lock, and no other lock is acquired while it is held.
 type Table struct {
 	self      *pb.Heartbeat
 	deadAfter time.Duration
-	// choose picks the routing hosts among the known ones, beside processor time of
-	// unknown ones by zone.
-	choose func(known []Candidate, unknown map[string]float64) map[string]bool
+	// selectRouting selects the routing hosts among the known hosts, given the CPU cores that
+	// unknown hosts provide in each zone.
+	selectRouting func(known []Candidate, unknown map[string]float64) map[string]bool
 
 	mu    sync.Mutex
 	hosts map[string]*host
-	// ordered holds the same hosts, and this one, in their order.
+	// ordered holds the same hosts and this one, sorted by byOrder.
 	ordered []*host
-	// zones holds the availability zone of each peer address.
+	// zones maps peer addresses to availability zones.
 	zones map[string]string
-	// probes are peer addresses that may or may not have a host: seeds, those read from
-	// the store, those of dead hosts.
+	// probes are peer addresses that may have no host: seeds, addresses read from the store,
+	// and addresses of dead hosts.
 	probes map[string]*probe
 	view   *View
-	// died holds the hosts that were found dead since Expire was last called.
-	died []string
-	// expected holds the hosts that tell this one each interval or two, by the last
-	// view: their silence means something.
-	expected map[string]bool
-	// lastAudience received this host's last heartbeat as a routing one, and farewells is the
-	// number of further ones that it gets once the host routes no more.
-	lastAudience []string
-	farewells    int
-	// heartbeats counts those sent in a small fleet.
+	// newlyDead holds the IDs of hosts that were declared dead since the last call of Expire.
+	newlyDead []string
+	// directSenders holds the hosts that, according to the last view, send heartbeats to this
+	// one every one or two intervals, so that deadAfter applies to them.
+	directSenders map[string]bool
+	// routingAudience is the audience of this host's last heartbeat as a routing host, and
+	// finalHeartbeats the number of heartbeats still to be sent to it after the host has
+	// stopped routing.
+	routingAudience []string
+	finalHeartbeats int
+	// heartbeats counts the heartbeats of a small fleet, of which one in memberStatesPeriod
+	// relays states.
 	heartbeats int
-	// routingCursors and standbyCursors are where the next rounds of passing on hosts begin,
-	// to routing hosts and to standby ones.
+	// routingCursors and standbyCursors are where the next round of relayed states starts, for
+	// heartbeats to routing hosts and to standby hosts.
 	routingCursors, standbyCursors cursors
-	// summaries are the last counts of the standby hosts of each zone by a routing host.
+	// summaries holds, by zone, the last count of standby hosts that a routing host reported.
 	summaries map[string]zoneSummary
-	// successors are the standby hosts that others are passed on, as of succeeded.
-	successors []*host
-	succeeded  time.Time
+	// standbySubset is the cached result of selectStandbySubset, computed at standbySubsetAt.
+	standbySubset   []*host
+	standbySubsetAt time.Time
 }
 
-// cursors are places in the lists of hosts that are passed on.
+// cursors are positions in the lists of hosts whose states are relayed.
 type cursors struct{ routing, changed, others int }
 
-// host is what is known of another host.
+// host is the record of a host.
 type host struct {
-	beat *pb.Heartbeat
-	// heard is when the newest sign of life was sent, at the latest.
-	heard time.Time
-	// direct is whether the host tells this one itself, and listened when it last did,
-	// with the heartbeat spoken.
-	direct   bool
-	listened time.Time
-	spoken   *pb.Heartbeat
-	// asked is when the host last wanted to be told.
-	asked time.Time
-	// changed is since when the host is in its present state, and announced how often that
-	// was passed on to the routing hosts.
-	changed   time.Time
+	heartbeat *pb.Heartbeat
+	// lastSeen is the time at or before which the host sent its newest known liveness signal.
+	lastSeen time.Time
+	// direct is set if the host sends heartbeats to this one. lastDirect is when the last such
+	// heartbeat arrived, and directHeartbeat is that heartbeat.
+	direct          bool
+	lastDirect      time.Time
+	directHeartbeat *pb.Heartbeat
+	// lastAsked is when the host last asked for heartbeats.
+	lastAsked time.Time
+	// changedAt is when the host's state last changed, and announced how often the new state
+	// was relayed to the routing hosts.
+	changedAt time.Time
 	announced int
 	order     uint64
-	// chosen is since when this host counts it among the routing ones, or zero.
-	chosen time.Time
-	// passedOver is set while the host, chosen though it does not say that it routes, was
-	// not heard of in time. It may live, but others route in its place.
-	passedOver bool
-	// dead is set until the host is heard of again.
+	// routingSince is since when this host counts it as a routing host, or zero.
+	routingSince time.Time
+	// excluded is set while the host, although chosen to route, has not reported within the
+	// timeout that it does. It may be alive, but other hosts route in its place.
+	excluded bool
+	// dead is set from when the host is declared dead until it is seen again.
 	dead bool
 }
 
-// probe is an address of which no host was heard of lately.
+// probe is an address from which no host was seen lately.
 type probe struct {
-	since time.Time
-	tried time.Time
-	// died is set if a host at this address was heard of and then declared dead.
-	died bool
+	addedAt  time.Time
+	probedAt time.Time
+	// formerHost is set if a host at this address was seen and then declared dead.
+	formerHost bool
 }
 
-// NewTable returns the table of a host that has heard of no other one. A host that
-// ought to be heard from is dead after so long a silence.
+// NewTable returns the table of a host that has seen no other one. A host that should send
+// heartbeats to this one is declared dead after deadAfter without any.
 func NewTable(self *pb.Heartbeat, deadAfter time.Duration) *Table {
 	return &Table{
-		self: self, deadAfter: deadAfter, choose: routingBeside, summaries: map[string]zoneSummary{},
-		ordered: []*host{{beat: self, order: xxh3.HashString(self.Host)}},
+		self: self, deadAfter: deadAfter, selectRouting: routingWithUnknown, summaries: map[string]zoneSummary{},
+		ordered: []*host{{heartbeat: self, order: xxh3.HashString(self.Host)}},
 		hosts:   map[string]*host{}, zones: map[string]string{}, probes: map[string]*probe{},
 	}
 }
 
-// ChooseAll makes all hosts route.
+// ChooseAll makes every host a routing host.
 func (t *Table) ChooseAll() {
-	t.choose = func(hosts []Candidate, _ map[string]float64) map[string]bool {
+	t.selectRouting = func(hosts []Candidate, _ map[string]float64) map[string]bool {
 		all := map[string]bool{}
 		for _, h := range hosts {
 			all[h.ID] = true
@@ -132,63 +136,63 @@
 	}
 }
 
-// Learn takes the peer address of a host.
+// Learn adds the peer address of a host, to be probed until a host is seen there.
 func (t *Table) Learn(peer string, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.learn(peer, now)
+	t.addProbe(peer, now)
 }
 
-func (t *Table) learn(peer string, now time.Time) {
+func (t *Table) addProbe(peer string, now time.Time) {
 	if peer == "" || peer == t.self.PeerAddress || t.probes[peer] != nil {
 		return
 	}
 	for _, h := range t.hosts {
-		if h.beat.PeerAddress == peer {
+		if h.heartbeat.PeerAddress == peer {
 			return
 		}
 	}
-	t.probes[peer] = &probe{since: now}
+	t.probes[peer] = &probe{addedAt: now}
 }
 
-// Lost reports whether a host fell silent that had not said that it leaves.
+// Lost reports whether a host was declared dead without having announced that it leaves.
 func (t *Table) Lost(host string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	h := t.hosts[host]
-	return h != nil && h.dead && !h.beat.Leaving
+	return h != nil && h.dead && !h.heartbeat.Leaving
 }
 
-// KnowsOthers reports whether this host knows the address of any other one, heard of or
-// not.
+// KnowsOthers reports whether this host knows the address of any other host, whether or not
+// that host was ever seen.
 func (t *Table) KnowsOthers() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return len(t.hosts)+len(t.probes) > 0
 }
 
-// UnheardAddresses returns the number of peer addresses learned within maxAge from which no
-// host has been heard. Their hosts may have stopped, or may be running but unreachable.
+// UnheardAddresses returns the number of peer addresses added within maxAge from which no
+// host has been seen. Their hosts may have stopped, or may be running but unreachable.
 func (t *Table) UnheardAddresses(maxAge time.Duration, now time.Time) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	n := 0
 	for _, p := range t.probes {
-		if !p.died && now.Sub(p.since) <= maxAge {
+		if !p.formerHost && now.Sub(p.addedAt) <= maxAge {
 			n++
 		}
 	}
 	return n
 }
 
-// ZoneOf returns the availability zone of the host with a peer address, or "".
+// ZoneOf returns the availability zone of the host with the given peer address, or "".
 func (t *Table) ZoneOf(peer string) string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.zones[peer]
 }
 
-// SetState takes this host's own state.
+// SetState sets the state that this host announces.
 func (t *Table) SetState(ready, leaving bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -198,74 +202,74 @@
 	}
 }
 
-// SaysReady reports whether this host was last said to be ready.
+// SaysReady reports whether this host announces that it is ready.
 func (t *Table) SaysReady() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.self.Ready
 }
 
-// Heard takes a heartbeat and what it passes on of others. It returns the host's
-// last heartbeat before, and whether this one is newer. Another incarnation always
-// is: only one process can send from a host's address.
-func (t *Table) Heard(b *pb.Heartbeat, now time.Time) (before *pb.Heartbeat, fresh bool) {
+// Heard applies a received heartbeat and the states relayed in it. It returns the previous
+// heartbeat of the sender and whether this one is newer. A heartbeat of another incarnation
+// always counts as newer, since only one process can send from an address.
+func (t *Table) Heard(b *pb.Heartbeat, now time.Time) (previous *pb.Heartbeat, newer bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	h := t.hosts[b.Host]
-	if h != nil && h.spoken != nil && h.spoken.Incarnation == b.Incarnation && h.spoken.Sequence >= b.Sequence {
-		return h.beat, false
+	if h != nil && h.directHeartbeat != nil && h.directHeartbeat.Incarnation == b.Incarnation && h.directHeartbeat.Sequence >= b.Sequence {
+		return h.heartbeat, false
 	}
 	for _, m := range b.Members {
-		t.takeState(m, now)
+		t.applyRelayed(m, now)
 	}
 	h = t.hosts[b.Host]
 	if h != nil {
-		before = h.beat
+		previous = h.heartbeat
 	}
-	h = t.take(b, now)
-	h.direct, h.listened, h.spoken = true, now, b
+	h = t.apply(b, now)
+	h.direct, h.lastDirect, h.directHeartbeat = true, now, b
 	if b.Asks {
-		h.asked = now
+		h.lastAsked = now
 	}
-	t.takeSummaries(b.Standby, now)
-	t.takeDigest(b, now)
-	return before, true
+	t.applySummaries(b.Standby, now)
+	t.applyDigest(b, now)
+	return previous, true
 }
 
-// take puts a newer heartbeat in place of the one before.
-func (t *Table) take(b *pb.Heartbeat, heard time.Time) *host {
+// apply records b as the host's newest heartbeat.
+func (t *Table) apply(b *pb.Heartbeat, seenAt time.Time) *host {
 	h := t.hosts[b.Host]
 	if h == nil {
 		h = &host{order: xxh3.HashString(b.Host)}
 		t.hosts[b.Host] = h
-		h.beat = b
+		h.heartbeat = b
 		at, _ := slices.BinarySearchFunc(t.ordered, h, byOrder)
 		t.ordered = slices.Insert(t.ordered, at, h)
-		t.view, h.changed, h.announced = nil, heard, 0
-	} else if h.dead || h.beat.Ready != b.Ready || h.beat.Leaving != b.Leaving || h.beat.Incarnation != b.Incarnation {
-		t.view, h.changed, h.announced = nil, heard, 0
+		t.view, h.changedAt, h.announced = nil, seenAt, 0
+	} else if h.dead || h.heartbeat.Ready != b.Ready || h.heartbeat.Leaving != b.Leaving || h.heartbeat.Incarnation != b.Incarnation {
+		t.view, h.changedAt, h.announced = nil, seenAt, 0
 	}
 	delete(t.probes, b.PeerAddress)
 	t.zones[b.PeerAddress] = b.AvailabilityZone
-	h.beat, h.dead, h.passedOver = b, false, false
-	h.heard = latest(h.heard, heard)
+	h.heartbeat, h.dead, h.excluded = b, false, false
+	h.lastSeen = latest(h.lastSeen, seenAt)
 	return h
 }
 
-// known returns the other hosts in their order.
-func (t *Table) known() iter.Seq[*host] {
+// otherHosts iterates over the other hosts in order.
+func (t *Table) otherHosts() iter.Seq[*host] {
 	return func(yield func(*host) bool) {
 		for _, h := range t.ordered {
-			if h.beat != t.self && !yield(h) {
+			if h.heartbeat != t.self && !yield(h) {
 				return
 			}
 		}
 	}
 }
 
-// byOrder compares hosts by an order that is the same for all who know them.
+// byOrder compares hosts in an order that is the same on all hosts.
 func byOrder(a, b *host) int {
-	return cmp.Or(cmp.Compare(a.order, b.order), cmp.Compare(a.beat.Host, b.beat.Host))
+	return cmp.Or(cmp.Compare(a.order, b.order), cmp.Compare(a.heartbeat.Host, b.heartbeat.Host))
 }
 
 func latest(a, b time.Time) time.Time {
@@ -275,96 +279,97 @@
 	return b
 }
 
-// takeState takes another host's word of a third one. An older word changes nothing.
-func (t *Table) takeState(m *pb.MemberState, now time.Time) {
+// applyRelayed applies the state of a third host that another host relayed, unless it is
+// older than what is recorded or than relayedStandbyTimeout.
+func (t *Table) applyRelayed(m *pb.MemberState, now time.Time) {
 	if m.Host == t.self.Host {
 		return
 	}
 	sent := now.Add(-time.Duration(m.AgeMs) * time.Millisecond)
 	h := t.hosts[m.Host]
-	if h != nil && !sent.After(h.heard) {
+	if h != nil && !sent.After(h.lastSeen) {
 		return
 	}
-	if now.Sub(sent) > relayedStandbySilence {
+	if now.Sub(sent) > relayedStandbyTimeout {
 		return
 	}
-	if h != nil && h.beat.Incarnation == m.Incarnation && h.beat.Sequence >= m.Sequence {
+	if h != nil && h.heartbeat.Incarnation == m.Incarnation && h.heartbeat.Sequence >= m.Sequence {
 		return
 	}
-	h = t.take(&pb.Heartbeat{
+	h = t.apply(&pb.Heartbeat{
 		Host: m.Host, Incarnation: m.Incarnation, Sequence: m.Sequence, AvailabilityZone: m.AvailabilityZone,
 		CallerAddress: m.CallerAddress, PeerAddress: m.PeerAddress, Ready: m.Ready, Leaving: m.Leaving,
 		Routing: m.Routing, Cores: m.Cores,
 	}, sent)
-	h.direct = now.Sub(h.listened) < t.deadAfter
+	h.direct = now.Sub(h.lastDirect) < t.deadAfter
 }
 
-// silence returns how long the host may be silent before it counts as dead: what
-// it means depends on who is told, and by whom.
-func (t *Table) silence(h *host) time.Duration {
+// timeout returns the timeout after which the host is declared dead. It depends on how often
+// its heartbeats or its relayed state are expected here.
+func (t *Table) timeout(h *host) time.Duration {
 	switch {
-	case h.direct && t.expected[h.beat.Host]:
+	case h.direct && t.directSenders[h.heartbeat.Host]:
 		return t.deadAfter
-	case h.beat.Routing:
-		return t.relayedSilence()
+	case h.heartbeat.Routing:
+		return t.relayedTimeout()
 	case h.direct:
-		return standbySilence
+		return standbyTimeout
 	default:
-		return relayedStandbySilence
+		return relayedStandbyTimeout
 	}
 }
 
-// relayedSilence is how long a routing host may be silent that others pass on.
-func (t *Table) relayedSilence() time.Duration {
-	return time.Duration(relayedFactor * float64(t.deadAfter))
+// relayedTimeout returns the timeout of a routing host that is seen through others.
+func (t *Table) relayedTimeout() time.Duration {
+	return time.Duration(relayedTimeoutFactor * float64(t.deadAfter))
 }
 
-// alive reports whether the host is thought to live.
+// alive reports whether the host is assumed to be alive.
 func (t *Table) alive(h *host, now time.Time) bool {
-	return !h.dead && now.Sub(h.heard) < t.silence(h)
+	return !h.dead && now.Sub(h.lastSeen) < t.timeout(h)
 }
 
-// failsToRoute reports whether a host that was chosen to route does not say that it does,
-// and has had time to be heard of since.
+// failsToRoute reports whether a host that was chosen to route has not reported that it
+// does, although the timeout for such a report has passed.
 func (t *Table) failsToRoute(h *host, now time.Time) bool {
-	return !h.beat.Routing && !h.chosen.IsZero() && now.Sub(latest(h.heard, h.chosen)) >= t.relayedSilence()
+	return !h.heartbeat.Routing && !h.routingSince.IsZero() && now.Sub(latest(h.lastSeen, h.routingSince)) >= t.relayedTimeout()
 }
 
-// markDead marks the hosts that have died. Their addresses are still tried for a while:
-// a host that was cut off, or that starts again while the store is down, learns of
-// the others only from their heartbeats.
+// markDead declares hosts dead whose timeout has passed. Their addresses are still probed
+// for a while: a host that was partitioned, or that restarts while the store is down, finds
+// the others only through their heartbeats.
 func (t *Table) markDead(now time.Time) {
 	for id, h := range t.hosts {
 		if !h.dead && !t.alive(h, now) {
 			h.dead = true
 			t.view = nil
-			t.probes[h.beat.PeerAddress] = &probe{since: now, died: true}
-			t.died = append(t.died, id)
+			t.probes[h.heartbeat.PeerAddress] = &probe{addedAt: now, formerHost: true}
+			t.newlyDead = append(t.newlyDead, id)
 		}
-		if !h.passedOver && t.failsToRoute(h, now) {
-			h.passedOver = true
+		if !h.excluded && t.failsToRoute(h, now) {
+			h.excluded = true
 			t.view = nil
 		}
 	}
 }
 
-// Expire forgets hosts that have long been dead, and returns those that died since
-// the last call, by ID.
+// Expire removes hosts that have long been dead, and returns the sorted IDs of those that
+// were declared dead since the last call.
 func (t *Table) Expire(now time.Time) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.markDead(now)
-	died := t.died
-	t.died = nil
+	died := t.newlyDead
+	t.newlyDead = nil
 	for id, h := range t.hosts {
-		if h.dead && now.Sub(h.heard) > relayedStandbySilence {
+		if h.dead && now.Sub(h.lastSeen) > relayedStandbyTimeout {
 			delete(t.hosts, id)
 			t.ordered = slices.DeleteFunc(t.ordered, func(other *host) bool { return other == h })
-			delete(t.zones, h.beat.PeerAddress)
+			delete(t.zones, h.heartbeat.PeerAddress)
 		}
 	}
 	for peer, p := range t.probes {
-		if now.Sub(p.since) > forgetAfter {
+		if now.Sub(p.addedAt) > probeTTL {
 			delete(t.probes, peer)
 		}
 	}
@@ -372,22 +377,22 @@
 	return died
 }
 
-// Host is another host as this one sees it.
+// Host is the state of another host as seen by this one.
 type Host struct {
 	Beat  *pb.Heartbeat
 	Alive bool
 	Age   time.Duration
-	// Direct hosts tell this one themselves.
+	// Direct is set if the host sends heartbeats to this one.
 	Direct bool
 }
 
-// Hosts returns the other hosts by ID.
+// Hosts returns the other hosts, sorted by ID.
 func (t *Table) Hosts(now time.Time) []Host {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	out := make([]Host, 0, len(t.hosts))
 	for _, h := range t.hosts {
-		out = append(out, Host{h.beat, t.alive(h, now), now.Sub(h.heard), h.direct})
+		out = append(out, Host{h.heartbeat, t.alive(h, now), now.Sub(h.lastSeen), h.direct})
 	}
 	slices.SortFunc(out, func(a, b Host) int { return cmp.Compare(a.Beat.Host, b.Beat.Host) })
 	return out
--- a/internal/member/table_test.go
+++ b/internal/member/table_test.go
@@ -8,13 +8,13 @@
 	pb "github.com/briarlink/briarlink/api/briarlink/v1"
 )
 
-const testDead = time.Second
+const testDeadAfter = time.Second
 
 func newTestTable(id string) *Table {
-	return NewTable(&pb.Heartbeat{Host: id, PeerAddress: id + ":1", CallerAddress: id}, testDead)
+	return NewTable(&pb.Heartbeat{Host: id, PeerAddress: id + ":1", CallerAddress: id}, testDeadAfter)
 }
 
-func beat(host string, incarnation, sequence uint64) *pb.Heartbeat {
+func newHeartbeat(host string, incarnation, sequence uint64) *pb.Heartbeat {
 	return &pb.Heartbeat{Host: host, Incarnation: incarnation, Sequence: sequence, Ready: true, CallerAddress: host, PeerAddress: host + ":1"}
 }
 
@@ -29,13 +29,13 @@
 func TestOnlyLiveReadyHostsServe(t *testing.T) {
 	table := newTestTable("self")
 	now := time.Now()
-	table.Heard(beat("b", 1, 1), now.Add(-testDead))
-	table.View(now.Add(-testDead))
-	table.Heard(beat("a", 1, 1), now)
-	leaving := beat("c", 1, 1)
+	table.Heard(newHeartbeat("b", 1, 1), now.Add(-testDeadAfter))
+	table.View(now.Add(-testDeadAfter))
+	table.Heard(newHeartbeat("a", 1, 1), now)
+	leaving := newHeartbeat("c", 1, 1)
 	leaving.Leaving = true
 	table.Heard(leaving, now)
-	starting := beat("d", 1, 1)
+	starting := newHeartbeat("d", 1, 1)
 	starting.Ready = false
 	table.Heard(starting, now)
 	if got := servingOf(table, now); got != "a" {
@@ -49,36 +49,36 @@
 	}
 }
 
-// TestOldHeartbeatsChangeNothing: datagrams may come late or twice, and others may
-// pass on what is older than what is known.
+// TestOldHeartbeatsChangeNothing covers datagrams that arrive late or twice, and relayed
+// states that are older than the recorded ones.
 func TestOldHeartbeatsChangeNothing(t *testing.T) {
 	table := newTestTable("self")
 	now := time.Now()
-	table.Heard(beat("a", 1, 5), now)
-	late := beat("a", 1, 4)
+	table.Heard(newHeartbeat("a", 1, 5), now)
+	late := newHeartbeat("a", 1, 4)
 	late.Ready = false
-	if _, fresh := table.Heard(late, now); fresh || servingOf(table, now) != "a" {
-		t.Error("an older heartbeat was taken")
+	if _, newer := table.Heard(late, now); newer || servingOf(table, now) != "a" {
+		t.Error("an older heartbeat was applied")
 	}
-	passed := beat("b", 1, 1)
-	passed.Members = []*pb.MemberState{{Host: "a", Incarnation: 9, Sequence: 99, AgeMs: 500, PeerAddress: "a:1"}}
-	table.Heard(passed, now)
+	relayed := newHeartbeat("b", 1, 1)
+	relayed.Members = []*pb.MemberState{{Host: "a", Incarnation: 9, Sequence: 99, AgeMs: 500, PeerAddress: "a:1"}}
+	table.Heard(relayed, now)
 	if got := servingOf(table, now); got != "a,b" && got != "b,a" {
-		t.Errorf("serving %q after an old word", got)
+		t.Errorf("serving %q after an older relayed state", got)
 	}
-	if _, fresh := table.Heard(beat("a", 2, 1), now); !fresh {
-		t.Error("a new start of the host was not taken")
+	if _, newer := table.Heard(newHeartbeat("a", 2, 1), now); !newer {
+		t.Error("the heartbeat of a new incarnation was not applied")
 	}
 }
 
-// TestNobodyDiesOfWhatOneIsNotMeantToHear: standby hosts that tell others are heard
-// of through them, rarely; a routing host of which nobody passes on a word is dead
-// soon.
-func TestNobodyDiesOfWhatOneIsNotMeantToHear(t *testing.T) {
+// TestRelayedStandbyHostsStayAlive checks timeouts of hosts that are only seen through a
+// relay. A standby host whose state is relayed rarely must stay alive, whereas a routing
+// host that is no longer relayed must soon be declared dead.
+func TestRelayedStandbyHostsStayAlive(t *testing.T) {
 	table := newTestTable("self")
 	now := time.Now()
 	relay := func() *pb.Heartbeat {
-		b := beat("relay", 1, uint64(now.UnixNano()))
+		b := newHeartbeat("relay", 1, uint64(now.UnixNano()))
 		b.Routing, b.Cores = true, 0.8
 		return b
 	}
@@ -95,31 +95,32 @@
 		died = append(died, table.Expire(now)...)
 	}
 	if strings.Join(died, ",") != "routing" {
-		t.Errorf("died in 5 s: %v, want the routing host alone", died)
+		t.Errorf("died in 5 s: %v, want only the routing host", died)
 	}
 }
 
-// TestDeadHostsAreStillTried: one that was cut off, or restarted while the store is
-// down, learns of the others from their heartbeats.
-func TestDeadHostsAreStillTried(t *testing.T) {
+// TestAddressesOfDeadHostsAreProbed checks that addresses of dead hosts are probed until
+// probeTTL. A host that was partitioned, or that restarts while the store is down, finds the
+// others only through their heartbeats.
+func TestAddressesOfDeadHostsAreProbed(t *testing.T) {
 	table := newTestTable("self")
 	now := time.Now()
-	table.Heard(beat("a", 1, 1), now)
+	table.Heard(newHeartbeat("a", 1, 1), now)
 	table.View(now)
-	now = now.Add(2 * testDead)
+	now = now.Add(2 * testDeadAfter)
 	table.Expire(now)
-	tried := 0
+	probed := 0
 	for tick := range 20 {
-		tried += len(table.Tick(tick, false, now).Ask)
+		probed += len(table.Tick(tick, false, now).Ask)
 		now = now.Add(100 * time.Millisecond)
 	}
-	if tried < 3 || tried > 5 {
-		t.Errorf("tried %d times in 2 s", tried)
+	if probed < 3 || probed > 5 {
+		t.Errorf("probed %d times in 2 s, want 3 to 5", probed)
 	}
-	now = now.Add(forgetAfter)
+	now = now.Add(probeTTL)
 	table.Expire(now)
 	if got := table.Tick(0, false, now).Ask; len(got) != 0 {
-		t.Errorf("still tried: %v", got)
+		t.Errorf("still probed: %v", got)
 	}
 }
 
@@ -129,6 +130,6 @@
 	n := uint64(0)
 	for b.Loop() {
 		n++
-		table.Heard(beat("a", 1, n), now)
+		table.Heard(newHeartbeat("a", 1, n), now)
 	}
 }
--- a/internal/member/view.go
+++ b/internal/member/view.go
@@ -11,36 +11,37 @@
 )
 
 const (
-	// viewAge is how long a view is used: it is made anew at once when a host comes,
-	// goes or changes its state, and otherwise only for silence.
-	viewAge = 100 * time.Millisecond
-	// relayCount is the number of relays of a standby host: one may be lost.
+	// viewTTL is how long a view is cached. It is rebuilt at once when a host joins, leaves or
+	// changes its state, and otherwise only to notice timeouts.
+	viewTTL = 100 * time.Millisecond
+	// relayCount is the number of relays of a standby host, so that one may be lost.
 	relayCount = 2
 )
 
-// View is who does what, as one host sees it at a moment. It does not change.
+// View is an immutable snapshot of the roles of all hosts, as this host sees them.
 type View struct {
-	// Routing hosts are those that callers are sent to, this one included where Here
-	// is set; Serving are the ready ones of them, or of all where none is.
+	// Routing hosts are those that callers are sent to; this one is among them if Here is set.
+	// Serving are the ready hosts among them, or all ready hosts if none of them is.
 	Routing []*pb.Heartbeat
 	Serving []*pb.Heartbeat
 	Here    bool
-	// Rank is this host's place in an order of all live hosts that is the same for all
-	// who know of the same ones: routing hosts first.
+	// Rank is this host's position in an order of all live hosts, routing hosts first. Hosts
+	// that see the same live hosts agree on the order.
 	Rank int
-	// Live is the number of live hosts, this one included, and Unknown the part of them
-	// that this host knows by number alone.
+	// Live is the number of live hosts, this one included. Unknown is how many of them are
+	// only known as part of a count that a routing host reported.
 	Live    int
 	Unknown int
-	// All is set in a small fleet, where every host tells every other.
+	// All is set in a small fleet, where every host sends heartbeats to every other.
 	All bool
-	// Relays are whom a standby host tells of itself and hears of others from.
+	// Relays are the routing hosts that a standby host sends heartbeats to, and that report
+	// the other hosts to it.
 	Relays []*pb.Heartbeat
 
-	made time.Time
+	createdAt time.Time
 }
 
-// View returns the view at a moment.
+// View returns the current view.
 func (t *Table) View(now time.Time) *View {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -48,138 +49,139 @@
 }
 
 func (t *Table) viewAt(now time.Time) *View {
-	if t.view == nil || now.Sub(t.view.made) >= viewAge {
+	if t.view == nil || now.Sub(t.view.createdAt) >= viewTTL {
 		t.view = t.newView(now)
 	}
 	return t.view
 }
 
-// live returns the hosts that live and do not leave, in their order, and how many others
-// live that may not route.
-func (t *Table) live(now time.Time) (hosts []*host, passedOver int) {
+// liveHosts returns the live hosts that are not leaving, in order, and separately the number
+// of those left out because they are excluded from routing.
+func (t *Table) liveHosts(now time.Time) (hosts []*host, excluded int) {
 	hosts = make([]*host, 0, len(t.ordered))
 	for _, h := range t.ordered {
 		switch {
-		case h.beat.Leaving || h.beat != t.self && !t.alive(h, now):
-		case h.passedOver:
-			passedOver++
+		case h.heartbeat.Leaving || h.heartbeat != t.self && !t.alive(h, now):
+		case h.excluded:
+			excluded++
 		default:
 			hosts = append(hosts, h)
 		}
 	}
-	return hosts, passedOver
+	return hosts, excluded
 }
 
 func (t *Table) newView(now time.Time) *View {
 	t.markDead(now)
-	live, passedOver := t.live(now)
-	unknown, cores := t.unknown(live, now)
-	chosen := t.choose(candidatesOf(live), cores)
-	t.noteChosen(chosen, now)
-	all := len(live) + max(unknown, passedOver)
-	v := &View{Here: chosen[t.self.Host], Live: all, Unknown: unknown, All: all <= FewHosts, made: now}
-	v.place(live, chosen, t.self)
+	live, excluded := t.liveHosts(now)
+	unknown, cores := t.unknownHosts(live, now)
+	chosen := t.selectRouting(candidatesOf(live), cores)
+	t.updateRoutingSince(chosen, now)
+	liveCount := len(live) + max(unknown, excluded)
+	v := &View{Here: chosen[t.self.Host], Live: liveCount, Unknown: unknown, All: liveCount <= FewHosts, createdAt: now}
+	v.assignRoles(live, chosen, t.self)
 	if !v.Here {
-		v.Relays = t.relays(v.Routing)
+		v.Relays = t.selectRelays(v.Routing)
 	}
-	t.expect(v, live)
+	t.updateDirectSenders(v, live)
 	return v
 }
 
-// place fills in the routing and the serving hosts and this one's rank.
-func (v *View) place(live []*host, chosen map[string]bool, self *pb.Heartbeat) {
+// assignRoles fills in Routing, Serving and Rank.
+func (v *View) assignRoles(live []*host, chosen map[string]bool, self *pb.Heartbeat) {
 	var ready []*pb.Heartbeat
-	before, others := 0, 0
+	standbyBefore, standbyCount := 0, 0
 	for _, h := range live {
-		routes := chosen[h.beat.Host]
+		routes := chosen[h.heartbeat.Host]
 		switch {
-		case h.beat == self:
-			before = others
+		case h.heartbeat == self:
+			standbyBefore = standbyCount
 			v.Rank = len(v.Routing)
 		case !routes:
-			others++
+			standbyCount++
 		}
 		if routes {
-			v.Routing = append(v.Routing, h.beat)
+			v.Routing = append(v.Routing, h.heartbeat)
 		}
-		if h.beat.Ready {
-			ready = append(ready, h.beat)
+		if h.heartbeat.Ready {
+			ready = append(ready, h.heartbeat)
 		}
-		if routes && h.beat.Ready {
-			v.Serving = append(v.Serving, h.beat)
+		if routes && h.heartbeat.Ready {
+			v.Serving = append(v.Serving, h.heartbeat)
 		}
 	}
 	if !v.Here {
-		// Unknown hosts lie among the known ones in the order.
-		v.Rank = len(v.Routing) + before*(others+1+v.Unknown)/(others+1)
+		// Unknown hosts are assumed to be spread evenly among the known ones in the order.
+		v.Rank = len(v.Routing) + standbyBefore*(standbyCount+1+v.Unknown)/(standbyCount+1)
 	}
 	if len(v.Serving) == 0 {
 		v.Serving = ready
 	}
 }
 
-// expect notes who tells this host: in a small fleet all, otherwise the other
-// routing hosts, or this host's relays.
-func (t *Table) expect(v *View, live []*host) {
-	t.expected = map[string]bool{}
-	told := v.Relays
+// updateDirectSenders records which hosts send heartbeats to this one: all in a small fleet,
+// otherwise the other routing hosts, or on standby the relays.
+func (t *Table) updateDirectSenders(v *View, live []*host) {
+	t.directSenders = map[string]bool{}
+	senders := v.Relays
 	if v.Here {
-		told = v.Routing
+		senders = v.Routing
 	}
-	for _, b := range told {
-		// A host that does not count itself among the routing ones tells its relays alone.
-		t.expected[b.Host] = b.Routing
+	for _, b := range senders {
+		// A host that does not see itself as routing sends heartbeats only to its relays.
+		t.directSenders[b.Host] = b.Routing
 	}
 	if !v.All {
 		return
 	}
 	for _, h := range live {
-		t.expected[h.beat.Host] = true
+		t.directSenders[h.heartbeat.Host] = true
 	}
 }
 
-func (t *Table) noteChosen(chosen map[string]bool, now time.Time) {
+func (t *Table) updateRoutingSince(chosen map[string]bool, now time.Time) {
 	for _, h := range t.ordered {
 		switch {
-		case !chosen[h.beat.Host]:
-			h.chosen = time.Time{}
-		case h.chosen.IsZero():
-			h.chosen = now
+		case !chosen[h.heartbeat.Host]:
+			h.routingSince = time.Time{}
+		case h.routingSince.IsZero():
+			h.routingSince = now
 		}
 	}
 }
 
-// relays returns the relays of this host: of its zone where there are any, so that
-// little crosses zones, and not the same for all hosts of a zone.
-func (t *Table) relays(routing []*pb.Heartbeat) []*pb.Heartbeat {
-	near := slices.DeleteFunc(slices.Clone(routing), func(b *pb.Heartbeat) bool {
+// selectRelays selects the relays of this host. They are in its own zone if that has routing
+// hosts, to save cross-zone traffic, and spread by hash so that the hosts of a zone do not
+// all use the same ones.
+func (t *Table) selectRelays(routing []*pb.Heartbeat) []*pb.Heartbeat {
+	candidates := slices.DeleteFunc(slices.Clone(routing), func(b *pb.Heartbeat) bool {
 		return b.AvailabilityZone != t.self.AvailabilityZone
 	})
-	if len(near) == 0 {
-		near = slices.Clone(routing)
+	if len(candidates) == 0 {
+		candidates = slices.Clone(routing)
 	}
 	seed := xxh3.HashString(t.self.Host)
-	slices.SortFunc(near, func(a, b *pb.Heartbeat) int {
+	slices.SortFunc(candidates, func(a, b *pb.Heartbeat) int {
 		return cmp.Compare(xxh3.HashStringSeed(a.Host, seed), xxh3.HashStringSeed(b.Host, seed))
 	})
-	return near[:min(len(near), relayCount)]
+	return candidates[:min(len(candidates), relayCount)]
 }
 
-// Relayed reports whether this host is on standby and a relay of its own tells it:
-// such a host needs to ask the store for nothing.
+// Relayed reports whether this host is on standby and at least one of its relays sends
+// heartbeats to it. Such a host has no need to read from the store.
 func (t *Table) Relayed(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.heardRelays(t.viewAt(now), now) > 0
+	return t.activeRelays(t.viewAt(now), now) > 0
 }
 
-// heardRelays returns the number of this host's relays that tell it.
-func (t *Table) heardRelays(v *View, now time.Time) int {
-	heard := 0
+// activeRelays returns the number of this host's relays that send heartbeats to it.
+func (t *Table) activeRelays(v *View, now time.Time) int {
+	active := 0
 	for _, b := range v.Relays {
-		if h := t.hosts[b.Host]; h != nil && h.direct && now.Sub(h.listened) < t.deadAfter {
-			heard++
+		if h := t.hosts[b.Host]; h != nil && h.direct && now.Sub(h.lastDirect) < t.deadAfter {
+			active++
 		}
 	}
-	return heard
+	return active
 }
