--- a/internal/schedule/links.go
+++ b/internal/schedule/links.go
@@ -5,56 +5,56 @@
 	"time"
 )
 
-// links estimates until when each link for KV cache is busy with the transfers
-// that this host asked for; they run one after another. It is safe for
-// concurrent use.
+// links estimates until when the links of KV cache endpoints are busy with known transfers,
+// which are assumed to run one after another. It is safe for concurrent use.
 type links struct {
-	mu   sync.Mutex
-	busy map[string]time.Time
+	mu        sync.Mutex
+	busyUntil map[string]time.Time
 }
 
-// expected returns when a transfer that takes d would be over.
+// expected returns how long it would take until a transfer of duration d is complete,
+// including the wait for both links.
 func (l *links) expected(from, to string, d time.Duration, now time.Time) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.start(from, to, now).Sub(now) + d
+	return l.earliestStart(from, to, now).Sub(now) + d
 }
 
-func (l *links) start(from, to string, now time.Time) time.Time {
+func (l *links) earliestStart(from, to string, now time.Time) time.Time {
 	start := now
-	for _, end := range []string{from, to} {
-		if l.busy[end].After(start) {
-			start = l.busy[end]
+	for _, endpoint := range []string{from, to} {
+		if l.busyUntil[endpoint].After(start) {
+			start = l.busyUntil[endpoint]
 		}
 	}
 	return start
 }
 
-// wait returns how long a link is still busy.
-func (l *links) wait(end string, now time.Time) time.Duration {
+// wait returns for how long a link is still busy.
+func (l *links) wait(endpoint string, now time.Time) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return max(0, l.busy[end].Sub(now))
+	return max(0, l.busyUntil[endpoint].Sub(now))
 }
 
-// use books a transfer that takes d on both links.
-func (l *links) use(from, to string, d time.Duration, now time.Time) {
+// reserve books a transfer of duration d on both links.
+func (l *links) reserve(from, to string, d time.Duration, now time.Time) {
 	if from == "" || d <= 0 {
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(l.busy) > linkSweep {
-		for end, until := range l.busy {
+	if len(l.busyUntil) > linkSweepThreshold {
+		for endpoint, until := range l.busyUntil {
 			if until.Before(now) {
-				delete(l.busy, end)
+				delete(l.busyUntil, endpoint)
 			}
 		}
 	}
-	over := l.start(from, to, now).Add(d)
-	l.busy[from] = over
-	l.busy[to] = over
+	finish := l.earliestStart(from, to, now).Add(d)
+	l.busyUntil[from] = finish
+	l.busyUntil[to] = finish
 }
 
-// linkSweep is the number of links from which idle ones are dropped.
-const linkSweep = 64
+// linkSweepThreshold is the number of links above which idle ones are removed.
+const linkSweepThreshold = 64
--- a/internal/schedule/many_test.go
+++ b/internal/schedule/many_test.go
@@ -9,8 +9,8 @@
 	"github.com/briarlink/briarlink/platform"
 )
 
-// many returns the IDs of so many engines.
-func many(n int) []string {
+// engineIDs returns the IDs of n engines.
+func engineIDs(n int) []string {
 	ids := make([]string, n)
 	for i := range ids {
 		ids[i] = fmt.Sprintf("engine-%04d", i)
@@ -18,34 +18,35 @@
 	return ids
 }
 
-// TestPromptsFollowTheirPartsAmongMany: a decision among 1,500 engines looks at 160 of
-// them, and still sends a prompt to the engine that holds its parts, while different prompts
-// go to different engines.
-func TestPromptsFollowTheirPartsAmongMany(t *testing.T) {
-	s, _, _ := newScheduler(many(1500)...)
+// TestManyEnginesKeepPrefixAffinity checks that a decision among 1,500 engines, of which it
+// considers 160, still sends a prompt to the engine that holds its prefix, and that
+// different prompts are sent to different engines.
+func TestManyEnginesKeepPrefixAffinity(t *testing.T) {
+	s, _, _ := newScheduler(engineIDs(1500)...)
 	now := time.Now()
 	used := map[string]bool{}
 	for i := range 100 {
-		part := fmt.Sprint("p", i)
-		first := pick(t, s, request(open, part), now)
+		block := fmt.Sprint("p", i)
+		first := pick(t, s, request(open, block), now)
 		first.Flight.End(replica.Answered, now)
 		used[first.ID] = true
 		later := now.Add(time.Second)
-		if again := pick(t, s, request(open, part), later); again.ID != first.ID || again.Cached != 13_000 {
-			t.Errorf("%s went to %s, and then to %s with %d cached", part, first.ID, again.ID, again.Cached)
+		if again := pick(t, s, request(open, block), later); again.ID != first.ID || again.Cached != 13_000 {
+			t.Errorf("%s went to %s, and then to %s with %d cached", block, first.ID, again.ID, again.Cached)
 		} else {
 			again.Flight.End(replica.Answered, later)
 		}
 	}
 	if len(used) < 80 {
-		t.Errorf("100 prompts went to %d engines", len(used))
+		t.Errorf("100 different prompts went to only %d engines", len(used))
 	}
 }
 
-// TestBusyEnginesAreLeftForOthers: what begins alike is looked for at the same engines, and
-// overruns them where little of it is shared; others take the work before it waits for long.
-func TestBusyEnginesAreLeftForOthers(t *testing.T) {
-	s, _, _ := newScheduler(many(1500)...)
+// TestBusyEnginesOverflowToOthers covers prompts with the same short prefix. They consider
+// the same engines and would overload them for little shared work; other engines must take
+// over before requests wait for long.
+func TestBusyEnginesOverflowToOthers(t *testing.T) {
+	s, _, _ := newScheduler(engineIDs(1500)...)
 	now := time.Now()
 	used := map[string]bool{}
 	for i := range 600 {
@@ -55,14 +56,14 @@
 		used[c.ID] = true
 	}
 	if len(used) < 200 {
-		t.Errorf("600 requests at once went to %d engines", len(used))
+		t.Errorf("600 simultaneous requests went to only %d engines", len(used))
 	}
 }
 
-// TestTheLastEngineOfManyIsFound: where none of those that are looked at can take a
-// request, all are.
-func TestTheLastEngineOfManyIsFound(t *testing.T) {
-	ids := many(1500)
+// TestOnlyUsableEngineOfManyIsFound checks that all engines are considered if none of the
+// first selection can accept a request.
+func TestOnlyUsableEngineOfManyIsFound(t *testing.T) {
+	ids := engineIDs(1500)
 	s, _, table := newScheduler(ids...)
 	now := time.Now()
 	for i, id := range ids[:1499] {
@@ -71,15 +72,15 @@
 	for i := range 20 {
 		c := pick(t, s, request(open, fmt.Sprint("p", i)), now)
 		if c.ID != ids[1499] {
-			t.Errorf("went to %s", c.ID)
+			t.Errorf("went to %s, want the only engine that is not draining", c.ID)
 		}
 		c.Flight.End(replica.Answered, now)
 	}
 }
 
-// BenchmarkPickAmongMany is a decision among 3,000 engines.
+// BenchmarkPickAmongMany measures a decision among 3,000 engines.
 func BenchmarkPickAmongMany(b *testing.B) {
-	s, _, _ := newScheduler(many(3000)...)
+	s, _, _ := newScheduler(engineIDs(3000)...)
 	now := time.Now()
 	for b.Loop() {
 		c, err := s.Pick(request(open, "p"), now)
--- a/internal/schedule/reuse.go
+++ b/internal/schedule/reuse.go
@@ -8,62 +8,62 @@
 )
 
 const (
-	// reuseWindow is how soon a prefix must be asked for again to be worth keeping:
-	// later it has been dropped by the replicas, and mostly by the store.
+	// reuseWindow is the period within which a prefix must be requested again to be worth
+	// saving. Later the replicas, and mostly the store, have evicted it.
 	reuseWindow = 10 * time.Second
-	// reuseWeight is the weight of one request in the share of reuse.
+	// reuseWeight is the weight of one request in the moving average of the reuse rate.
 	reuseWeight = 0.05
-	// reuseShare is the share from which every prefix of some sharers is kept. Below
-	// it, saving would fill the store's link with prefixes that nobody asks for.
-	reuseShare = 0.1
-	// reuseSweep is the number of prefixes from which old ones are dropped.
-	reuseSweep = 4096
+	// minReuseRate is the reuse rate of a sharing scope from which all its prefixes are saved.
+	// Below it, saving would fill the store's link with prefixes that are not requested again.
+	minReuseRate = 0.1
+	// reuseSweepThreshold is the number of prefixes above which old ones are removed.
+	reuseSweepThreshold = 4096
 )
 
-// reuse tracks how often prefixes are asked for again. It is safe for concurrent
+// reuseTracker records how often prefixes are requested again. It is safe for concurrent
 // use.
-type reuse struct {
-	mu    sync.Mutex
-	seen  map[prefix.Hash]time.Time
-	share map[uint64]float64
+type reuseTracker struct {
+	mu          sync.Mutex
+	lastRequest map[prefix.Hash]time.Time
+	rate        map[uint64]float64
 }
 
-func newReuse() *reuse {
-	return &reuse{seen: map[prefix.Hash]time.Time{}, share: map[uint64]float64{}}
+func newReuseTracker() *reuseTracker {
+	return &reuseTracker{lastRequest: map[prefix.Hash]time.Time{}, rate: map[uint64]float64{}}
 }
 
-// note records that sharers ask for a prefix.
-func (r *reuse) note(sharers uint64, last prefix.Hash, now time.Time) {
+// record notes a request with the given prefix in a sharing scope.
+func (r *reuseTracker) record(scope uint64, hash prefix.Hash, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	again := 0.0
-	if r.again(last, now) {
-		again = 1
+	repeated := 0.0
+	if r.requestedLately(hash, now) {
+		repeated = 1
 	}
-	r.share[sharers] += reuseWeight * (again - r.share[sharers])
-	r.seen[last] = now
-	if len(r.seen) > reuseSweep {
+	r.rate[scope] += reuseWeight * (repeated - r.rate[scope])
+	r.lastRequest[hash] = now
+	if len(r.lastRequest) > reuseSweepThreshold {
 		r.sweep(now)
 	}
 }
 
-func (r *reuse) again(last prefix.Hash, now time.Time) bool {
-	at, ok := r.seen[last]
+func (r *reuseTracker) requestedLately(hash prefix.Hash, now time.Time) bool {
+	at, ok := r.lastRequest[hash]
 	return ok && now.Sub(at) < reuseWindow
 }
 
-func (r *reuse) sweep(now time.Time) {
-	for part, at := range r.seen {
+func (r *reuseTracker) sweep(now time.Time) {
+	for hash, at := range r.lastRequest {
 		if now.Sub(at) >= reuseWindow {
-			delete(r.seen, part)
+			delete(r.lastRequest, hash)
 		}
 	}
 }
 
-// likely reports whether a prefix will probably be asked for again soon: it was a
-// moment ago, or many among its sharers are.
-func (r *reuse) likely(sharers uint64, last prefix.Hash, now time.Time) bool {
+// likely reports whether a prefix will probably be requested again soon: because it was
+// requested lately, or because many prefixes in its sharing scope are requested again.
+func (r *reuseTracker) likely(scope uint64, hash prefix.Hash, now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.again(last, now) || r.share[sharers] >= reuseShare
+	return r.requestedLately(hash, now) || r.rate[scope] >= minReuseRate
 }
--- a/internal/schedule/saving.go
+++ b/internal/schedule/saving.go
@@ -7,28 +7,29 @@
 )
 
 const (
-	// minSave is the least number of shared tokens worth keeping in the store.
-	minSave = 32
-	// maxSaveWait is the longest queue of transfers at the store at which more is
-	// saved there: fetches wait behind them.
+	// minSaveTokens is the minimum number of shared tokens worth saving in the store.
+	minSaveTokens = 32
+	// maxSaveWait is the maximum backlog of transfers at the store with which more is saved
+	// there, because fetches wait behind saves.
 	maxSaveWait = 150 * time.Millisecond
-	// idleSaveWait is that queue for prompts of which nothing says that they will be
-	// asked for again: they are saved while the store's link has little else to do.
-	idleSaveWait = 30 * time.Millisecond
+	// maxIdleSaveWait is the same limit for prompts that are not known to be requested again:
+	// they are saved only while the store's link is almost idle.
+	maxIdleSaveWait = 30 * time.Millisecond
 )
 
-// worthSaving reports whether the store lacks shared parts of the prompt that
-// will probably be asked for again, and has time to take them.
+// worthSaving reports whether the prompt should be saved: the store lacks enough of its
+// shared prefix blocks, and its backlog is within the limit for how likely they are to be
+// requested again.
 func (s *Scheduler) worthSaving(req *Request, c *Choice, now time.Time) bool {
 	if req.Store == nil || !s.StoreUp(req.Store.Address) || len(c.prompt.Parts) == 0 {
 		return false
 	}
 	held, _ := s.index.Held(req.Store.Address, c.prompt, now)
-	if c.Shared-held < minSave {
+	if c.Shared-held < minSaveTokens {
 		return false
 	}
-	limit := idleSaveWait
-	if s.reuse.likely(c.sharers, c.lasting, now) {
+	limit := maxIdleSaveWait
+	if s.reuse.likely(c.sharingScope, c.stablePrefix, now) {
 		limit = maxSaveWait
 	} else if s.Off[mechanism.IdleSaves] {
 		return false
--- a/internal/schedule/schedule.go
+++ b/internal/schedule/schedule.go
@@ -1,6 +1,6 @@
-// Package schedule joins the table of backend servers, the prefix index and the
-// routing decision: it picks a replica for a request, says from where the replica
-// should fetch KV cache and where it should save it, and learns from answers.
+// Package schedule combines the table of backend servers, the prefix index and the routing
+// policy: it picks a replica for a request, decides from where the replica should fetch KV
+// cache and where it should save it, and updates the prefix index from the results.
 package schedule
 
 import (
@@ -33,96 +33,98 @@
 	PromptTokens int
 	OutputTokens int
 	Target       time.Duration
-	// Repeatable requests may run again at another replica.
+	// Repeatable requests may be run again on another replica.
 	Repeatable bool
-	// MaxHold is the longest that the request may be held.
+	// MaxHold is the maximum time for which the request may be held.
 	MaxHold time.Duration
-	// Exclude holds replicas that were tried.
+	// Exclude holds the replicas that have already been tried.
 	Exclude map[string]bool
-	// Digest names the request.
+	// Digest identifies the request for the quarantine.
 	Digest quarantine.Digest
 }
 
-// Choice is where a request goes and what its replica is told.
+// Choice is the replica that a request is sent to and the instructions for the replica.
 type Choice struct {
 	route.Decision
-	// Salt and Sink are as in platform.ReplicaRequest.
+	// Salt and Sink have the same meaning as in platform.ReplicaRequest.
 	Salt   string
 	Sink   string
 	Flight *replica.Flight
-	// Shared is the number of shared tokens.
+	// Shared is the number of tokens in the shared prefix blocks of the prompt.
 	Shared int
-	// Hold is above 0 when the request had better wait and be scheduled anew: the
-	// replica reads its parts for another request, and a request that is sent
-	// before the end would read them too. Nothing is counted as sent then.
+	// Hold is above 0 if the request should wait and be scheduled again: the replica is
+	// prefilling the same prefix blocks for another request, and a request sent before this is
+	// done would prefill them too. The request is not counted as sent then.
 	Hold time.Duration
 
 	prompt   prefix.Prompt
 	capacity int
-	// sharers and lasting name who may share the prompt, and its shared prefix,
-	// whatever the weights.
-	sharers uint64
-	lasting prefix.Hash
-	saving  time.Duration
+	// sharingScope identifies who may share the prompt's cached state, and stablePrefix its
+	// shared prefix; both are independent of the weights version.
+	sharingScope uint64
+	stablePrefix prefix.Hash
+	saveTime     time.Duration
 }
 
 const (
-	// minHold is the least number of shared tokens for which a request is held.
-	minHold = 512
-	// holdMargin is added to a hold: readings are mostly a little later than
+	// minHoldTokens is the minimum number of shared tokens being prefilled for which a request
+	// is held.
+	minHoldTokens = 512
+	// holdMargin is added to a hold because prefills mostly finish a little later than
 	// expected.
 	holdMargin = 25 * time.Millisecond
-	// anyWeights stands for no version in particular: what is asked for again does
-	// not change with the weights.
+	// anyWeights is used instead of a weights version where hashes must not depend on it:
+	// which prefixes are requested again does not change with the weights.
 	anyWeights = 0
-	// cacheShare of a replica's memory is thought to hold parts of ended requests.
+	// cacheShare is the share of a replica's KV cache that is assumed to hold prefix blocks of
+	// ended requests.
 	cacheShare = 0.9
 )
 
 // Scheduler picks replicas. It is safe for concurrent use.
 type Scheduler struct {
-	replicas *replica.Table
-	index    *prefix.Index
-	policy   route.Policy
-	zone     string
-	share    bool
-	links    links
-	reuse    *reuse
-	// Tell asks for the other hosts to be told at once.
+	replicas   *replica.Table
+	index      *prefix.Index
+	policy     route.Policy
+	zone       string
+	shareCache bool
+	links      links
+	reuse      *reuseTracker
+	// Tell requests that other hosts be notified at once.
 	Tell func()
-	// Moves says which versions of a service's software requests may go to; it is set before
-	// use.
+	// Moves decides which software versions of a service a request may be sent to. It is set
+	// before use.
 	Moves *canary.Table
-	// Off holds the mechanisms that are switched off; it is set before use.
+	// Off holds the mechanisms that are disabled. It is set before use.
 	Off mechanism.Off
 
-	mu   sync.Mutex
-	sent []*pb.PrefixSent
-	// storesUp holds the addresses of the stores of kept KV cache that answer.
-	storesUp map[string]bool
+	mu          sync.Mutex
+	pendingSent []*pb.PrefixSent
+	// reachableStores holds the addresses of the KV cache stores that respond.
+	reachableStores map[string]bool
 }
 
-// New returns a scheduler for a host in an availability zone. With share set,
+// New returns a scheduler for a host in an availability zone. If shareCache is set,
 // organisations that are not isolated share cached prompts.
-func New(replicas *replica.Table, index *prefix.Index, policy route.Policy, zone string, share bool) *Scheduler {
+func New(replicas *replica.Table, index *prefix.Index, policy route.Policy, zone string, shareCache bool) *Scheduler {
 	return &Scheduler{
-		replicas: replicas, index: index, policy: policy, zone: zone, share: share,
-		links: links{busy: map[string]time.Time{}}, reuse: newReuse(), Tell: func() {},
-		storesUp: map[string]bool{}, Moves: canary.NewTable(canary.Terms{}, logrus.StandardLogger()),
+		replicas: replicas, index: index, policy: policy, zone: zone, shareCache: shareCache,
+		links: links{busyUntil: map[string]time.Time{}}, reuse: newReuseTracker(), Tell: func() {},
+		reachableStores: map[string]bool{}, Moves: canary.NewTable(canary.Terms{}, logrus.StandardLogger()),
 	}
 }
 
-// Salt returns the text that separates cached prompts: by model, by weights
-// version, and by organisation where it is isolated.
+// Salt returns the text that separates cached prompts by model, by weights version, and, for
+// isolated organisations, by organisation.
 func (s *Scheduler) Salt(model string, version int64, o *config.Organisation) string {
 	salt := model + "/w" + strconv.FormatInt(version, 10)
-	if o != nil && (o.Isolated || !s.share) {
+	if o != nil && (o.Isolated || !s.shareCache) {
 		salt += "/" + o.Name
 	}
 	return salt
 }
 
-// Pick chooses a replica and counts the request as sent to it.
+// Pick chooses a replica and counts the request as sent to it, unless it is to be held.
 func (s *Scheduler) Pick(req *Request, now time.Time) (*Choice, error) {
 	capacity := 0
 	if req.Service.Engine != nil {
@@ -131,11 +133,11 @@
 	for {
 		side := s.Moves.Choose(req.Service.Name, now)
 		prompts := map[int64]prefix.Prompt{}
-		decision, err := s.decideOnSide(req, &side, capacity, prompts, now)
+		decision, err := s.decideByVersion(req, &side, capacity, prompts, now)
 		if err != nil {
 			return nil, err
 		}
-		c := s.choose(req, decision, prompts, capacity, now)
+		c := s.commit(req, decision, prompts, capacity, now)
 		if side.Target && (c == nil || c.Hold > 0) {
 			s.Moves.Withdraw(req.Service.Name)
 		}
@@ -150,17 +152,18 @@
 	}
 }
 
-// decideOnSide picks among the replicas with the versions that the request may go to. Where
-// none of the version that is tried can take it, it goes to the others.
-func (s *Scheduler) decideOnSide(req *Request, side *canary.Side, capacity int, prompts map[int64]prefix.Prompt, now time.Time) (route.Decision, error) {
+// decideByVersion picks among the replicas with the software versions that the request may
+// be sent to. If it is meant for the target version of a canary release but no replica with
+// that version can accept it, it is sent to the other versions.
+func (s *Scheduler) decideByVersion(req *Request, side *canary.Side, capacity int, prompts map[int64]prefix.Prompt, now time.Time) (route.Decision, error) {
 	if !side.Target {
-		return s.decideAmongSome(req, side, capacity, prompts, now)
+		return s.decideFromCandidates(req, side, capacity, prompts, now)
 	}
 	all := s.replicas.Snapshot(req.Service.Name, req.Model, capacity, now)
 	decision, err := s.decide(req, allowed(all, side), prompts, now)
 	if err != nil {
 		*side = s.Moves.Withdraw(req.Service.Name)
-		return s.decideAmongSome(req, side, capacity, prompts, now)
+		return s.decideFromCandidates(req, side, capacity, prompts, now)
 	}
 	return decision, nil
 }
@@ -169,14 +172,14 @@
 	return canary.Servers(side, replicas, func(r route.Replica) (id, version string) { return r.ID, r.Software })
 }
 
-// busyTargets is the wait behind others, in latency targets, from which a decision that
-// looked at some of many replicas looks at as many others too.
+// busyTargets is the wait behind other requests, in units of the latency target, above which
+// a decision made among some of many replicas also considers as many others.
 const busyTargets = 0.25
 
-// decideAmongSome picks among the replicas that requests with the same parts are sent to.
-// Where there are many replicas these are some of them; if they are busy, others are looked
-// at, and if none may be used, all.
-func (s *Scheduler) decideAmongSome(req *Request, side *canary.Side, capacity int, prompts map[int64]prefix.Prompt, now time.Time) (route.Decision, error) {
+// decideFromCandidates picks among the replicas to which requests with the same prefix
+// blocks are sent. With many replicas these are only some of them: if they are busy, others
+// are considered too, and if none is usable, all are.
+func (s *Scheduler) decideFromCandidates(req *Request, side *canary.Side, capacity int, prompts map[int64]prefix.Prompt, now time.Time) (route.Decision, error) {
 	key := StorePart(req.Parts)
 	if len(req.Parts) == 0 {
 		key = rand.Uint64()
@@ -199,14 +202,14 @@
 	return decision, nil
 }
 
-// decide picks among some replicas.
+// decide picks among the given replicas.
 func (s *Scheduler) decide(req *Request, replicas []route.Replica, prompts map[int64]prefix.Prompt, now time.Time) (route.Decision, error) {
 	candidates := make([]route.Candidate, len(replicas))
 	for i, r := range replicas {
 		candidates[i].Replica = r
 	}
 	if req.Service.Engine != nil && req.Service.Engine.CacheTokens > 0 {
-		s.caches(req, candidates, func(version int64) prefix.Prompt { return s.prompt(prompts, req, version) }, now)
+		s.addCaches(req, candidates, func(version int64) prefix.Prompt { return s.prompt(prompts, req, version) }, now)
 	}
 	return s.policy.Decide(&route.Request{
 		AvailabilityZone: s.zone,
@@ -216,11 +219,11 @@
 		LatencyTarget:    req.Target,
 		Repeatable:       req.Repeatable,
 		Exclude:          req.Exclude,
-		Affinity:         LeadingPart(req.Parts),
+		Affinity:         LeadingBlockKey(req.Parts),
 	}, candidates)
 }
 
-// prompt returns the shared parts under the salt of a weights version.
+// prompt returns the shared prefix blocks, hashed with the salt of a weights version.
 func (s *Scheduler) prompt(prompts map[int64]prefix.Prompt, req *Request, version int64) prefix.Prompt {
 	p, ok := prompts[version]
 	if !ok {
@@ -230,79 +233,79 @@
 	return p
 }
 
-// LeadingPart is equal for requests that share their first part.
-func LeadingPart(parts []platform.Part) uint64 {
-	if len(parts) == 0 {
+// LeadingBlockKey returns a key that is equal for requests with the same first prefix block.
+func LeadingBlockKey(blocks []platform.Part) uint64 {
+	if len(blocks) == 0 {
 		return 0
 	}
-	return uint64(prefix.HashOf("", parts[0].ID))
+	return uint64(prefix.HashOf("", blocks[0].ID))
 }
 
-// StorePart is equal for requests whose prompts one store keeps. Callers' prompts begin
-// with few texts, such as a route's instructions, so that stores chosen by the leading
-// part alone are as unequal as these: of three on a fleet of 60 replicas, one was asked
-// for 73 % of the shared tokens, another for 3 %. The second shared part names the
-// document or the conversation; what follows it stays in its store, and each store keeps
-// the leading parts that it needs.
-func StorePart(parts []platform.Part) uint64 {
+// StorePart returns the key by which the KV cache store for a prompt is chosen. Many prompts
+// begin with one of a few texts, such as the instructions of a route. With the leading block
+// as key, the load of the stores was as uneven as the use of these texts: of three stores in
+// a fleet of 60 replicas, one received 73 % of the requested shared tokens and another 3 %.
+// The second shared block identifies the document or the conversation. Whatever follows it
+// stays in the same store, and each store keeps the leading blocks that its prompts need.
+func StorePart(blocks []platform.Part) uint64 {
 	const document = 1
-	if len(parts) <= document+1 {
-		return LeadingPart(parts)
+	if len(blocks) <= document+1 {
+		return LeadingBlockKey(blocks)
 	}
-	return uint64(prefix.HashOf("", parts[document].ID))
+	return uint64(prefix.HashOf("", blocks[document].ID))
 }
 
-// choose turns a decision into a choice that is counted as sent, or says how long
-// the request had better wait. It returns nil where the replica takes no more requests.
-func (s *Scheduler) choose(req *Request, d route.Decision, prompts map[int64]prefix.Prompt, capacity int, now time.Time) *Choice {
+// commit turns a decision into a choice that is counted as sent, or into one with Hold set.
+// It returns nil if the replica accepts no more requests.
+func (s *Scheduler) commit(req *Request, d route.Decision, prompts map[int64]prefix.Prompt, capacity int, now time.Time) *Choice {
 	p := s.prompt(prompts, req, d.Weights)
 	c := &Choice{Decision: d, Shared: p.Total(), prompt: p, capacity: int(float64(capacity) * cacheShare)}
-	if hold := s.hold(c, now); !s.Off[mechanism.Holds] && hold > 0 && hold <= req.MaxHold {
+	if hold := s.holdTime(c, now); !s.Off[mechanism.Holds] && hold > 0 && hold <= req.MaxHold {
 		c.Hold = hold
 		return c
 	}
-	read := 0
+	prefill := 0
 	if capacity > 0 {
-		read = max(0, req.PromptTokens-d.Cached-d.Fetched)
-		s.instruct(req, c, s.prompt(prompts, req, anyWeights).Parts, read, now)
+		prefill = max(0, req.PromptTokens-d.Cached-d.Fetched)
+		s.instruct(req, c, s.prompt(prompts, req, anyWeights).Parts, prefill, now)
 	}
 	work := replica.Work{
-		Prefill: read, Memory: req.PromptTokens + req.OutputTokens,
-		Expected: d.Expected, Reading: time.Duration(d.Pace * float64(s.policy.Reading(read))),
+		Prefill: prefill, Memory: req.PromptTokens + req.OutputTokens,
+		Expected: d.Expected, Reading: time.Duration(d.Pace * float64(s.policy.Reading(prefill))),
 		Own: d.Own, Pace: d.Pace, Engine: capacity > 0, Digest: req.Digest,
 	}
 	c.Flight = s.replicas.Begin(d.ID, work, now)
 	if c.Flight == nil {
 		return nil
 	}
-	s.learn(c, now)
-	if read >= tellAtOnce && !s.Off[mechanism.TellAtOnce] {
+	s.recordSent(c, now)
+	if prefill >= notifyTokens && !s.Off[mechanism.TellAtOnce] {
 		s.Tell()
 	}
 	return c
 }
 
-// instruct fills in what a model's replica is told: under which salt it looks for
-// cached parts, from where it fetches, and where it saves what it reads. shared are
-// the prompt's shared parts whatever the weights.
-func (s *Scheduler) instruct(req *Request, c *Choice, shared []prefix.Hash, read int, now time.Time) {
+// instruct sets the instructions for a model's replica: the salt under which it looks up
+// cached prefix blocks, where it fetches from, and where it saves what it prefills. shared
+// are the prompt's shared prefix blocks independent of the weights.
+func (s *Scheduler) instruct(req *Request, c *Choice, shared []prefix.Hash, prefill int, now time.Time) {
 	c.Salt = s.Salt(req.Model, c.Weights, req.Organisation)
-	c.sharers = xxh3.HashString(s.Salt(req.Model, anyWeights, req.Organisation))
+	c.sharingScope = xxh3.HashString(s.Salt(req.Model, anyWeights, req.Organisation))
 	if len(shared) > 0 {
-		c.lasting = shared[len(shared)-1]
+		c.stablePrefix = shared[len(shared)-1]
 	}
-	s.links.use(c.Source, c.ID, c.Transfer, now)
+	s.links.reserve(c.Source, c.ID, c.Transfer, now)
 	if s.worthSaving(req, c, now) {
 		c.Sink = req.Store.Address
-		c.saving = transferTime(req.Service.Engine, req.Store.LinkMbps, read, req.Store.AvailabilityZone != c.AvailabilityZone)
-		s.links.use(c.Sink, c.ID, c.saving, now)
+		c.saveTime = transferTime(req.Service.Engine, req.Store.LinkMbps, prefill, req.Store.AvailabilityZone != c.AvailabilityZone)
+		s.links.reserve(c.Sink, c.ID, c.saveTime, now)
 	}
 }
 
-// hold returns how long the request had better wait for the replica's reading of
-// shared parts.
-func (s *Scheduler) hold(c *Choice, now time.Time) time.Duration {
-	if c.Reading < minHold {
+// holdTime returns how long the request should wait for the replica to finish the prefill of
+// shared prefix blocks.
+func (s *Scheduler) holdTime(c *Choice, now time.Time) time.Duration {
+	if c.Reading < minHoldTokens {
 		return 0
 	}
 	return s.index.ReadyAt(c.ID, c.prompt).Sub(now) + holdMargin
--- a/internal/schedule/schedule_test.go
+++ b/internal/schedule/schedule_test.go
@@ -39,10 +39,10 @@
 	return s, index, table
 }
 
-func request(org *config.Organisation, part string) *Request {
+func request(org *config.Organisation, block string) *Request {
 	return &Request{
 		Service: service, Store: cacheStore, Organisation: org, Model: testModel,
-		Parts:        []platform.Part{{ID: part, Tokens: 13_000}, {ID: "own", Tokens: 4_000}},
+		Parts:        []platform.Part{{ID: block, Tokens: 13_000}, {ID: "own", Tokens: 4_000}},
 		PromptTokens: 17_000, OutputTokens: 100, Target: 800 * time.Millisecond,
 		Exclude: map[string]bool{},
 	}
@@ -66,23 +66,23 @@
 		}
 	}
 	if len(salts) != 6 {
-		t.Errorf("%d salts of 6 are different", len(salts))
+		t.Errorf("%d different salts, want 6", len(salts))
 	}
 	if s.Salt(testModel, 1, open) != s.Salt(testModel, 1, &config.Organisation{Name: "also open"}) || s.Salt(testModel, 1, nil) != s.Salt(testModel, 1, open) {
-		t.Error("organisations that are not isolated do not share")
+		t.Error("organisations that are not isolated do not share a salt")
 	}
 	if s.Salt("other", 1, open) == s.Salt(testModel, 1, open) {
-		t.Error("models share")
+		t.Error("different models share a salt")
 	}
-	s.share = false
+	s.shareCache = false
 	if s.Salt(testModel, 1, open) == s.Salt(testModel, 1, &config.Organisation{Name: "also open"}) {
-		t.Error("they share although sharing is off")
+		t.Error("organisations share a salt although sharing is off")
 	}
 }
 
-// TestPromptFollowsItsParts: the replica that reads them gets the next request,
-// which waits until they are read.
-func TestPromptFollowsItsParts(t *testing.T) {
+// TestPromptFollowsItsPrefix checks that the replica that prefills a prefix also gets the
+// next request with it, which is held until the prefill is done.
+func TestPromptFollowsItsPrefix(t *testing.T) {
 	s, _, _ := newScheduler("a", "b", "c")
 	now := time.Now()
 	first := pick(t, s, request(open, "p"), now)
@@ -90,16 +90,17 @@
 	held.MaxHold = time.Second
 	second := pick(t, s, held, now)
 	if second.ID != first.ID || second.Hold <= 0 || second.Flight != nil {
-		t.Errorf("went to %s after %s, held for %v", second.ID, first.ID, second.Hold)
+		t.Errorf("the second request went to %s after %s, held for %v", second.ID, first.ID, second.Hold)
 	}
 	s.Read(first, now)
 	third := pick(t, s, held, now.Add(time.Second))
 	if third.ID != first.ID || third.Hold != 0 || third.Cached != 13_000 {
-		t.Errorf("went to %s, held for %v, cached %d", third.ID, third.Hold, third.Cached)
+		t.Errorf("the third request went to %s, held for %v, cached %d", third.ID, third.Hold, third.Cached)
 	}
 }
 
-// TestIsolatedPromptsAreNotFoundByOthers.
+// TestIsolatedPromptsAreNotFoundByOthers checks that other organisations do not reuse the
+// cached prompts of an isolated one.
 func TestIsolatedPromptsAreNotFoundByOthers(t *testing.T) {
 	s, _, _ := newScheduler("a")
 	now := time.Now()
@@ -109,8 +110,8 @@
 	}
 }
 
-// TestNewWeightsFindNothing: what older weights made is never counted on.
-func TestNewWeightsFindNothing(t *testing.T) {
+// TestNewWeightsDoNotReuseCache checks that KV cache computed with older weights is ignored.
+func TestNewWeightsDoNotReuseCache(t *testing.T) {
 	s, _, table := newScheduler("a", "b")
 	now := time.Now()
 	s.Read(pick(t, s, request(open, "p"), now), now)
@@ -122,8 +123,9 @@
 	}
 }
 
-// TestBusyHolderIsASource: a replica that is full of work hands its parts over.
-func TestBusyHolderIsASource(t *testing.T) {
+// TestBusyReplicaIsASource checks that the prefix held by an overloaded replica is fetched
+// by another replica.
+func TestBusyReplicaIsASource(t *testing.T) {
 	s, _, table := newScheduler("a", "b")
 	now := time.Now()
 	first := pick(t, s, request(open, "p"), now)
@@ -134,14 +136,14 @@
 	}
 }
 
-// TestStoreIsASource while it answers.
+// TestStoreIsASource checks that the store is used as a source only while it responds.
 func TestStoreIsASource(t *testing.T) {
 	s, index, _ := newScheduler("a")
 	now := time.Now()
 	index.Stored(storeAddress, prefix.HashOf("m/w1", "p"), 13_000, 2_500_000, now)
 	s.SetStoreUp(storeAddress, false)
 	if c := pick(t, s, request(open, "p"), now); c.Source != "" {
-		t.Errorf("fetched from a store that does not answer")
+		t.Errorf("fetched from a store that does not respond")
 	}
 	s, index, _ = newScheduler("a")
 	index.Stored(storeAddress, prefix.HashOf("m/w1", "p"), 13_000, 2_500_000, now)
@@ -150,64 +152,65 @@
 	}
 }
 
-// TestUnlikelyReuseIsSavedWhileTheLinkIsIdle: most prompts are asked for again after
-// some seconds, when a loaded replica has dropped them. The store's link carries the
-// first readings of a light load, and of a heavy one only those of a busy prefix.
-func TestUnlikelyReuseIsSavedWhileTheLinkIsIdle(t *testing.T) {
+// TestFirstPrefillIsSavedWhileTheLinkIsIdle: most prompts are requested again only after
+// some seconds, when a loaded replica has evicted them. Under light load the store's link
+// can carry every first prefill, but under heavy load only those of frequently requested
+// prefixes.
+func TestFirstPrefillIsSavedWhileTheLinkIsIdle(t *testing.T) {
 	s, _, _ := newScheduler("a", "b", "c", "d")
 	now := time.Now()
-	saved := func(part string, now time.Time) bool {
-		c := pick(t, s, request(open, part), now)
+	saved := func(block string, now time.Time) bool {
+		c := pick(t, s, request(open, block), now)
 		c.Flight.End(replica.Answered, now)
 		return c.Sink != ""
 	}
 	if !saved("p1", now) {
-		t.Error("a first reading is not saved although nothing is under way")
+		t.Error("a first prefill is not saved although no transfer is in progress")
 	}
 	if saved("p2", now) {
-		t.Error("a first reading is saved behind another")
+		t.Error("a first prefill is saved behind another transfer")
 	}
 	later := now.Add(time.Second)
 	if !saved("p3", later) {
-		t.Error("a first reading is not saved once the link is idle again")
+		t.Error("a first prefill is not saved once the link is idle again")
 	}
 }
 
-// TestOnlyLikelyReuseIsSaved while the store's link is busy: it has no room for the
-// rest.
+// TestOnlyLikelyReuseIsSaved checks that a busy store link, which has no capacity for other
+// prompts, is used only for those that will probably be requested again.
 func TestOnlyLikelyReuseIsSaved(t *testing.T) {
 	s, _, _ := newScheduler("a", "b", "c", "d")
 	now := time.Now()
-	busy := func(now time.Time) { s.links.use(storeAddress, "", 2*idleSaveWait, now) }
-	busy(now)
+	occupyLink := func(now time.Time) { s.links.reserve(storeAddress, "", 2*maxIdleSaveWait, now) }
+	occupyLink(now)
 	if c := pick(t, s, request(open, "p"), now); c.Sink != "" {
-		t.Error("a prompt that was never seen is saved")
+		t.Error("a prompt that was never requested before is saved")
 	}
 	now = now.Add(reuseWindow / 2)
-	busy(now)
+	occupyLink(now)
 	if c := pick(t, s, request(open, "p"), now); c.Sink != storeAddress {
-		t.Error("a prompt that is asked for again is not saved")
+		t.Error("a prompt that is requested again is not saved")
 	}
 	now = now.Add(2 * reuseWindow)
-	busy(now)
+	occupyLink(now)
 	if c := pick(t, s, request(open, "p"), now); c.Sink != "" {
-		t.Error("a prompt that was asked for long ago is saved")
+		t.Error("a prompt that was last requested long ago is saved")
 	}
 }
 
-// TestOtherHostsWordCounts: what they sent is found, and their transfers delay
-// this host's.
-func TestOtherHostsWordCounts(t *testing.T) {
-	here, _, _ := newScheduler("a", "b")
-	there, _, _ := newScheduler("a", "b")
+// TestPromptsOfOtherHostsAreApplied checks that prompts sent by other hosts are found in the
+// index.
+func TestPromptsOfOtherHostsAreApplied(t *testing.T) {
+	local, _, _ := newScheduler("a", "b")
+	remote, _, _ := newScheduler("a", "b")
 	now := time.Now()
-	first := pick(t, there, request(open, "p"), now)
-	here.Heard(there.TakeSent(), service.Engine.CacheTokens, now)
-	if c := pick(t, here, request(open, "p"), now.Add(5*time.Second)); c.ID != first.ID || c.Cached != 13_000 {
+	first := pick(t, remote, request(open, "p"), now)
+	local.Heard(remote.TakeSent(), service.Engine.CacheTokens, now)
+	if c := pick(t, local, request(open, "p"), now.Add(5*time.Second)); c.ID != first.ID || c.Cached != 13_000 {
 		t.Errorf("went to %s, cached %d; the other host sent to %s", c.ID, c.Cached, first.ID)
 	}
-	if len(there.TakeSent()) != 0 {
-		t.Error("told twice")
+	if len(remote.TakeSent()) != 0 {
+		t.Error("sent prompts are reported twice")
 	}
 }
 
@@ -227,9 +230,9 @@
 	}
 }
 
-// TestReuseOutlivesWeights: what is asked for again does not change with the
-// weights, so that it is saved at its first reading on new ones.
-func TestReuseOutlivesWeights(t *testing.T) {
+// TestReuseIsTrackedAcrossWeights checks that the record of reuse does not depend on the
+// weights version, so that a known prefix is saved at its first prefill with new weights.
+func TestReuseIsTrackedAcrossWeights(t *testing.T) {
 	s, _, table := newScheduler("a", "b")
 	now := time.Now()
 	pick(t, s, request(open, "p"), now).Flight.End(replica.Answered, now)
@@ -241,10 +244,10 @@
 	}
 }
 
-// TestSavesCountTheZone: a transfer between zones keeps the store's link busy for
-// twice as long, and no more is saved while it has a queue.
-func TestSavesCountTheZone(t *testing.T) {
-	wait := func(zone string) time.Duration {
+// TestCrossZoneSavesOccupyTheLinkLonger checks that a transfer between zones is counted as
+// occupying the store's link for twice as long, which delays further saves.
+func TestCrossZoneSavesOccupyTheLinkLonger(t *testing.T) {
+	linkWait := func(zone string) time.Duration {
 		s, index, _ := newScheduler("a")
 		now := time.Now()
 		pick(t, s, request(open, "p"), now).Flight.End(replica.Answered, now)
@@ -258,8 +261,8 @@
 		}
 		return s.links.wait(storeAddress, now.Add(reuseWindow/2))
 	}
-	near, far := wait("z"), wait("elsewhere")
-	if far < near*3/2 {
-		t.Errorf("the link is busy for %v within a zone, %v between zones", near, far)
+	sameZone, otherZone := linkWait("z"), linkWait("elsewhere")
+	if otherZone < sameZone*3/2 {
+		t.Errorf("the link is busy for %v within a zone, but only %v between zones", sameZone, otherZone)
 	}
 }
--- a/internal/schedule/sent.go
+++ b/internal/schedule/sent.go
@@ -8,92 +8,94 @@
 	"github.com/briarlink/briarlink/internal/replica"
 )
 
-// tellAtOnce is the number of tokens to read from which other hosts are told
-// at once: they take a replica some twenty milliseconds, in which others would
-// send it requests that then wait behind them.
-const tellAtOnce = 1000
+// notifyTokens is the number of tokens to prefill from which other hosts are notified at
+// once. Such a prefill occupies a replica for some twenty milliseconds, during which other
+// hosts would send it requests that then wait.
+const notifyTokens = 1000
 
-// learn records that the chosen replica is about to read the prompt, so that
-// the next request with the same parts follows this one.
-func (s *Scheduler) learn(c *Choice, now time.Time) {
+// recordSent records that the chosen replica is about to prefill the prompt, so that the
+// next request with the same prefix blocks is sent to the same replica, and queues this for
+// other hosts.
+func (s *Scheduler) recordSent(c *Choice, now time.Time) {
 	if len(c.prompt.Parts) == 0 || c.capacity == 0 {
 		return
 	}
 	s.index.Add(c.ID, c.prompt, c.capacity, now.Add(c.Expected))
-	s.reuse.note(c.sharers, c.lasting, now)
+	s.reuse.record(c.sharingScope, c.stablePrefix, now)
 	sent := &pb.PrefixSent{
-		Replica: c.ID, ReadyMs: int32(c.Expected.Milliseconds()), Sharers: c.sharers, Prefix: uint64(c.lasting),
-		Source: c.Source, FetchMs: int32(c.Transfer.Milliseconds()), Sink: c.Sink, SaveMs: int32(c.saving.Milliseconds()),
+		Replica: c.ID, ReadyMs: int32(c.Expected.Milliseconds()), Sharers: c.sharingScope, Prefix: uint64(c.stablePrefix),
+		Source: c.Source, FetchMs: int32(c.Transfer.Milliseconds()), Sink: c.Sink, SaveMs: int32(c.saveTime.Milliseconds()),
 	}
-	for i, part := range c.prompt.Parts {
-		sent.Parts = append(sent.Parts, uint64(part))
+	for i, block := range c.prompt.Parts {
+		sent.Parts = append(sent.Parts, uint64(block))
 		sent.Tokens = append(sent.Tokens, int32(c.prompt.Tokens[i]))
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.sent) < maxSent {
-		s.sent = append(s.sent, sent)
+	if len(s.pendingSent) < maxPendingSent {
+		s.pendingSent = append(s.pendingSent, sent)
 	}
 }
 
-// Read records that the chosen replica has read the whole prompt.
+// Read records that the chosen replica has finished the prefill of the prompt.
 func (s *Scheduler) Read(c *Choice, now time.Time) {
 	if c.capacity > 0 {
 		s.index.Add(c.ID, c.prompt, c.capacity, now)
 	}
 }
 
-// Withdraw undoes a choice whose request is not sent.
+// Withdraw undoes a choice whose request was not sent.
 func (s *Scheduler) Withdraw(c *Choice, now time.Time) {
 	c.Flight.End(replica.Cancelled, now)
 	s.Failed(c)
 }
 
-// Failed forgets what the chosen replica was about to read.
+// Failed removes what the chosen replica was expected to prefill from the index.
 func (s *Scheduler) Failed(c *Choice) { s.index.Unlearn(c.ID, c.prompt) }
 
-// maxSent bounds what one heartbeat tells of sent prompts.
-const maxSent = 40
+// maxPendingSent limits the number of sent prompts reported in one heartbeat.
+const maxPendingSent = 40
 
-// AnnounceHeld lets the next heartbeat name parts that a replica was found to hold.
+// AnnounceHeld adds prefix blocks that a replica was found to hold to the next heartbeat.
 func (s *Scheduler) AnnounceHeld(id string, found prefix.Prompt) {
 	sent := &pb.PrefixSent{Replica: id}
-	for i, part := range found.Parts {
-		sent.Parts = append(sent.Parts, uint64(part))
+	for i, block := range found.Parts {
+		sent.Parts = append(sent.Parts, uint64(block))
 		sent.Tokens = append(sent.Tokens, int32(found.Tokens[i]))
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.sent) < maxSent {
-		s.sent = append(s.sent, sent)
+	if len(s.pendingSent) < maxPendingSent {
+		s.pendingSent = append(s.pendingSent, sent)
 	}
 }
 
-// TakeSent returns what was sent since the last call, for other hosts.
+// TakeSent returns the prompts recorded since the last call, to be reported to other hosts.
 func (s *Scheduler) TakeSent() []*pb.PrefixSent {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	sent := s.sent
-	s.sent = nil
+	sent := s.pendingSent
+	s.pendingSent = nil
 	return sent
 }
 
-// Heard takes what another host learned. capacity is the replicas' memory.
+// Heard applies sent prompts reported by another host. capacity is the size of the replicas'
+// KV cache in tokens.
 func (s *Scheduler) Heard(sent []*pb.PrefixSent, capacity int, now time.Time) {
 	for _, item := range sent {
 		var p prefix.Prompt
-		for i, part := range item.Parts {
+		for i, block := range item.Parts {
 			if i < len(item.Tokens) {
-				p.Parts = append(p.Parts, prefix.Hash(part))
+				p.Parts = append(p.Parts, prefix.Hash(block))
 				p.Tokens = append(p.Tokens, int(item.Tokens[i]))
 			}
 		}
 		ready := now.Add(time.Duration(item.ReadyMs) * time.Millisecond)
 		s.index.Add(item.Replica, p, int(float64(capacity)*cacheShare), ready)
 		if item.Prefix != 0 {
-			s.reuse.note(item.Sharers, prefix.Hash(item.Prefix), now)
+			s.reuse.record(item.Sharers, prefix.Hash(item.Prefix), now)
 		}
-		s.links.use(item.Source, item.Replica, time.Duration(item.FetchMs)*time.Millisecond, now)
-		s.links.use(item.Sink, item.Replica, time.Duration(item.SaveMs)*time.Millisecond, now)
+		s.links.reserve(item.Source, item.Replica, time.Duration(item.FetchMs)*time.Millisecond, now)
+		s.links.reserve(item.Sink, item.Replica, time.Duration(item.SaveMs)*time.Millisecond, now)
 	}
 }
--- a/internal/schedule/sources.go
+++ b/internal/schedule/sources.go
@@ -10,105 +10,107 @@
 )
 
 const (
-	// minFetch is the least number of tokens worth a fetch: it takes a replica
-	// longer than reading so few, but they are not read again.
-	minFetch = 32
-	// fetchSetup is the time a transfer takes beside its bytes.
-	fetchSetup = 3500 * time.Microsecond
-	// otherZone is how many times as long a transfer takes between zones.
-	otherZone = 2
-	// maxFetchWait is the longest expected transfer that is still asked for: a
-	// replica does not start one that would wait 2 s.
-	maxFetchWait = 700 * time.Millisecond
+	// minFetchTokens is the minimum number of tokens worth a fetch. Fetching so few takes
+	// longer than prefilling them, but saves the repeated computation.
+	minFetchTokens = 32
+	// transferSetup is the fixed part of the duration of a transfer.
+	transferSetup = 3500 * time.Microsecond
+	// crossZoneFactor is the factor by which transfers between zones take longer.
+	crossZoneFactor = 2
+	// maxFetchTime is the maximum expected duration of a fetch, including the wait for the
+	// links. Replicas do not start a fetch that would wait for 2 s.
+	maxFetchTime = 700 * time.Millisecond
 )
 
-// source is a replica that holds some of a prompt.
+// source is a replica that holds a prefix of the prompt.
 type source struct {
 	*route.Candidate
 	held int
 }
 
-// caches fills in what each candidate holds and what it would fetch. Few replicas
-// hold a prompt, so that only those are looked at for each candidate.
-func (s *Scheduler) caches(req *Request, candidates []route.Candidate, prompt func(version int64) prefix.Prompt, now time.Time) {
+// addCaches fills in what each candidate holds and what it could fetch. Only few replicas
+// hold a prefix of the prompt, so only these are compared for each candidate.
+func (s *Scheduler) addCaches(req *Request, candidates []route.Candidate, prompt func(version int64) prefix.Prompt, now time.Time) {
 	var sources []source
 	for i := range candidates {
 		c := &candidates[i]
-		held, read := s.index.Held(c.ID, prompt(c.Weights), now)
-		c.Cached, c.Reading = held, held-read
-		if read >= minFetch && !s.Off[mechanism.ReplicaFetch] && c.Usable && !c.Doubted && !c.Trial && !c.Loading && c.Silence < silentSource {
-			sources = append(sources, source{c, read})
+		held, prefilled := s.index.Held(c.ID, prompt(c.Weights), now)
+		c.Cached, c.Reading = held, held-prefilled
+		if prefilled >= minFetchTokens && !s.Off[mechanism.ReplicaFetch] && c.Usable && !c.Doubted && !c.Trial && !c.Loading && c.Silence < maxSourceSilence {
+			sources = append(sources, source{c, prefilled})
 		}
 	}
 	for i := range candidates {
 		c := &candidates[i]
 		p := prompt(c.Weights)
-		if p.Total()-c.Cached < minFetch {
+		if p.Total()-c.Cached < minFetchTokens {
 			continue
 		}
-		s.tryStore(req, c, p, now)
+		s.considerStore(req, c, p, now)
 		for _, from := range sources {
 			if from.ID != c.ID && from.Weights == c.Weights {
-				s.trySource(req, c, from.Address, from.AvailabilityZone, req.Service.Engine.LinkMbps, from.held, now)
+				s.considerSource(req, c, from.Address, from.AvailabilityZone, req.Service.Engine.LinkMbps, from.held, now)
 			}
 		}
 	}
 }
 
-// silentSource is the silence from which nothing is fetched from a replica: a
-// dead source delays a request by some hundred milliseconds.
-const silentSource = 250 * time.Millisecond
+// maxSourceSilence is the time without an answer from which a replica is no longer used as a
+// source. A dead source delays a request by some hundred milliseconds.
+const maxSourceSilence = 250 * time.Millisecond
 
-func (s *Scheduler) tryStore(req *Request, c *route.Candidate, p prefix.Prompt, now time.Time) {
+func (s *Scheduler) considerStore(req *Request, c *route.Candidate, p prefix.Prompt, now time.Time) {
 	if req.Store == nil || !s.StoreUp(req.Store.Address) || s.Off[mechanism.StoreFetch] {
 		return
 	}
 	_, held := s.index.Held(req.Store.Address, p, now)
-	s.trySource(req, c, req.Store.Address, req.Store.AvailabilityZone, req.Store.LinkMbps, held, now)
+	s.considerSource(req, c, req.Store.Address, req.Store.AvailabilityZone, req.Store.LinkMbps, held, now)
 }
 
-// trySource makes a source the candidate's if it brings more, or as much sooner.
-func (s *Scheduler) trySource(req *Request, c *route.Candidate, address, zone string, linkMbps float64, held int, now time.Time) {
+// considerSource makes a source the candidate's if it provides more tokens, or as many
+// sooner.
+func (s *Scheduler) considerSource(req *Request, c *route.Candidate, address, zone string, linkMbps float64, held int, now time.Time) {
 	tokens := held - c.Cached
-	if tokens < minFetch || tokens < c.Fetched {
+	if tokens < minFetchTokens || tokens < c.Fetched {
 		return
 	}
 	transfer := transferTime(req.Service.Engine, linkMbps, tokens, zone != c.AvailabilityZone)
-	took := s.links.expected(address, c.ID, transfer, now)
-	if took > maxFetchWait || tokens == c.Fetched && took >= c.FetchTime {
+	fetchTime := s.links.expected(address, c.ID, transfer, now)
+	if fetchTime > maxFetchTime || tokens == c.Fetched && fetchTime >= c.FetchTime {
 		return
 	}
-	c.Fetched, c.Source, c.FetchTime, c.Transfer = tokens, address, took, transfer
+	c.Fetched, c.Source, c.FetchTime, c.Transfer = tokens, address, fetchTime, transfer
 }
 
-// transferTime is how long the tokens' KV cache is on the slower of two links.
-func transferTime(e *config.Engine, linkMbps float64, tokens int, zones bool) time.Duration {
+// transferTime returns the duration of a transfer of the tokens' KV cache over the slower of
+// the two links.
+func transferTime(e *config.Engine, linkMbps float64, tokens int, crossZone bool) time.Duration {
 	mbps := min(linkMbps, e.LinkMbps)
 	if mbps <= 0 {
-		return maxFetchWait + 1
+		return maxFetchTime + 1
 	}
 	bits := float64(tokens) * float64(e.TokenBytes) * 8
 	d := time.Duration(bits / (mbps * 1e6) * float64(time.Second))
-	if zones {
-		d *= otherZone
+	if crossZone {
+		d *= crossZoneFactor
 	}
-	return d + fetchSetup
+	return d + transferSetup
 }
 
-// SetStoreUp records whether a store of kept KV cache answers.
+// SetStoreUp records whether a KV cache store responds.
 func (s *Scheduler) SetStoreUp(address string, up bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if up {
-		s.storesUp[address] = true
+		s.reachableStores[address] = true
 		return
 	}
-	delete(s.storesUp, address)
+	delete(s.reachableStores, address)
 }
 
-// StoreUp reports whether a store of kept KV cache answers.
+// StoreUp reports whether a KV cache store responds.
 func (s *Scheduler) StoreUp(address string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.storesUp[address]
+	return s.reachableStores[address]
 }
--- a/internal/schedule/store_test.go
+++ b/internal/schedule/store_test.go
@@ -9,7 +9,7 @@
 	"github.com/briarlink/briarlink/platform"
 )
 
-// withStores returns a configuration with so many stores of kept KV cache.
+// withStores returns a configuration with n KV cache stores.
 func withStores(n int) *config.Config {
 	c := &config.Config{Services: map[string]*config.Service{}}
 	for i := range n {
@@ -19,8 +19,8 @@
 	return c.Build()
 }
 
-// prompts returns prompts of many documents behind three instructions, of which one
-// is used eight times in ten.
+// prompts returns prompts with many different documents after one of three instructions, of
+// which one is used in eight of ten prompts.
 func prompts(n int) [][]platform.Part {
 	random := rand.New(rand.NewPCG(1, 2))
 	out := make([][]platform.Part, 0, n)
@@ -35,12 +35,12 @@
 	return out
 }
 
-// TestStoresShareFewInstructions: on a large fleet most shared parts that were read
-// again had been dropped by their replicas and were in no store. Of three stores, one
-// was sent most of them: its link was busy and its memory full, while another was
-// hardly used. Stores were chosen by the leading part alone, and most prompts begin
-// with the same one.
-func TestStoresShareFewInstructions(t *testing.T) {
+// TestPromptsSpreadOverStores guards against uneven load of the stores. When a store was
+// chosen by the leading block alone, with which most prompts begin, one of three stores in a
+// large fleet was sent most blocks: its link was busy and its memory full, while another was
+// hardly used. Most shared blocks that had to be prefilled again had been evicted by their
+// replicas and were in no store.
+func TestPromptsSpreadOverStores(t *testing.T) {
 	const stores, n = 3, 6000
 	c := withStores(stores)
 	counts := map[string]int{}
@@ -54,29 +54,30 @@
 	}
 }
 
-// TestConversationStaysInItsStore: what a conversation adds is found where the rest of
-// it is kept; a store chosen by the last shared part would change with each turn.
+// TestConversationStaysInItsStore checks that later turns of a conversation use the store
+// that holds its earlier turns. With a store chosen by the last shared block it would change
+// with each turn.
 func TestConversationStaysInItsStore(t *testing.T) {
 	parts := []platform.Part{{ID: "instruction", Tokens: 500}, {ID: "first turn", Tokens: 300}, {ID: "own", Tokens: 100}}
 	first := StorePart(parts)
 	for turn := range 5 {
 		parts = append(parts, platform.Part{ID: fmt.Sprintf("turn-%d", turn), Tokens: 300})
 		if StorePart(parts) != first {
-			t.Fatalf("after turn %d another store keeps the conversation", turn)
+			t.Fatalf("after turn %d the conversation is kept in another store", turn)
 		}
 	}
 }
 
-// TestOwnPartChoosesNoStore: a prompt that shares its leading part alone goes where
-// that is kept.
-func TestOwnPartChoosesNoStore(t *testing.T) {
+// TestPrivateBlockChoosesNoStore checks that a prompt which shares only its leading block
+// uses the store chosen by that block.
+func TestPrivateBlockChoosesNoStore(t *testing.T) {
 	for _, own := range []string{"p", "q"} {
 		parts := []platform.Part{{ID: "document", Tokens: 13_000}, {ID: own, Tokens: 4_000}}
-		if StorePart(parts) != LeadingPart(parts) {
-			t.Errorf("the own part %q chooses the store", own)
+		if StorePart(parts) != LeadingBlockKey(parts) {
+			t.Errorf("the private block %q changes the choice of the store", own)
 		}
 	}
-	if StorePart(nil) != LeadingPart(nil) {
-		t.Error("a request without parts")
+	if StorePart(nil) != LeadingBlockKey(nil) {
+		t.Error("the keys of a request without prefix blocks differ")
 	}
 }
