--- a/internal/member/fleet_test.go
+++ b/internal/member/fleet_test.go
@@ -214,7 +214,7 @@
 // TestHostTrafficDoesNotGrowWithTheFleet guards against heartbeats from every host to every
 // other, with which a host in a fleet of 300 sent and received over a thousand datagrams per
 // second. The traffic of a standby host must not depend on the size of the fleet; that of a
-// routing host may grow with its part of the standby hosts.
+// routing host may grow with its share of the standby hosts.
 func TestHostTrafficDoesNotGrowWithTheFleet(t *testing.T) {
 	t.Parallel()
 	traffic := map[int]*hostTraffic{6: {}, 22: {}, 47: {}}
--- a/internal/member/spread.go
+++ b/internal/member/spread.go
@@ -181,9 +181,10 @@
 }
 
 // MemberStates returns the states of some other hosts, in rotation, for a heartbeat to
-// routing hosts, or to standby hosts. Routing hosts receive each other's heartbeats, so they
-// are mostly sent the standby hosts that send heartbeats to this one. Standby hosts are sent
-// all hosts, and the routing hosts more often, because changes of these matter to them soon.
+// routing hosts or, with standby set, to standby hosts. Routing hosts receive each other's
+// heartbeats, so they are mostly sent the standby hosts that send heartbeats to this one.
+// Standby hosts are sent all hosts, and the routing hosts more often, because changes of
+// these matter to them soon.
 func (t *Table) MemberStates(standby bool, now time.Time) []*pb.MemberState {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/member/table.go
+++ b/internal/member/table.go
@@ -47,7 +47,7 @@
 
 	mu    sync.Mutex
 	hosts map[string]*host
-	// ordered holds the same hosts and this one, sorted by byOrder.
+	// ordered holds all of hosts and this host itself, sorted by byOrder.
 	ordered []*host
 	// zones maps peer addresses to availability zones.
 	zones map[string]string
@@ -65,8 +65,8 @@
 	// stopped routing.
 	routingAudience []string
 	finalHeartbeats int
-	// heartbeats counts the heartbeats of a small fleet, of which one in memberStatesPeriod
-	// relays states.
+	// heartbeats counts the heartbeats that this host sent in a small fleet. One in
+	// memberStatesPeriod of them relays states.
 	heartbeats int
 	// routingCursors and standbyCursors are where the next round of relayed states starts, for
 	// heartbeats to routing hosts and to standby hosts.
@@ -81,7 +81,7 @@
 // cursors are positions in the lists of hosts whose states are relayed.
 type cursors struct{ routing, changed, others int }
 
-// host is the record of a host.
+// host is the table's record of one host.
 type host struct {
 	heartbeat *pb.Heartbeat
 	// lastSeen is the time at or before which the host sent its newest known liveness signal.
@@ -98,7 +98,8 @@
 	changedAt time.Time
 	announced int
 	order     uint64
-	// routingSince is since when this host counts it as a routing host, or zero.
+	// routingSince is when this host began to count it as a routing host, or zero if it does
+	// not.
 	routingSince time.Time
 	// excluded is set while the host, although chosen to route, has not reported within the
 	// timeout that it does. It may be alive, but other hosts route in its place.
@@ -136,7 +137,8 @@
 	}
 }
 
-// Learn adds the peer address of a host, to be probed until a host is seen there.
+// Learn adds the peer address of a host, to be probed until a host is seen there or probeTTL
+// has passed.
 func (t *Table) Learn(peer string, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
