--- a/internal/dispatch/admission.go
+++ b/internal/dispatch/admission.go
@@ -15,13 +15,13 @@
 )
 
 const (
-	// maxHolds bounds how often a request is held, and maxHoldTargets how long each
-	// time, in latency targets.
-	maxHolds       = 2
+	// maxHolds limits how often a request is held.
+	maxHolds = 2
+	// maxHoldTargets limits each hold, in multiples of the route's latency target.
 	maxHoldTargets = 0.7
 )
 
-// maxHold returns how long the request may be held now.
+// maxHold returns how long the request may still be held, 0 once it was held maxHolds times.
 func (r *run) maxHold() time.Duration {
 	if r.report.Holds >= maxHolds {
 		return 0
@@ -29,9 +29,10 @@
 	return time.Duration(maxHoldTargets * float64(r.req.Route.LatencyTarget))
 }
 
-// held waits while the chosen replica reads shared parts for another request, so
-// that they are read once, and reports whether the choice is to be made again.
-func (r *run) held(ctx context.Context, choice *schedule.Choice) bool {
+// hold waits while the chosen replica prefills shared prefix blocks for another request, so
+// that they are computed only once. It reports whether it waited; the caller then picks a
+// replica again.
+func (r *run) hold(ctx context.Context, choice *schedule.Choice) bool {
 	if choice.Hold == 0 {
 		return false
 	}
@@ -41,56 +42,59 @@
 }
 
 const (
-	// lateTargets is the expected time to a stream's first event, in latency
-	// targets, from which a request is refused: it would be late, make those behind
-	// it late, and mostly be given up by its caller, who waits for four targets.
-	lateTargets = 3
-	// urgentTargets is the wait, in latency targets of the service's most urgent
-	// route, from which less urgent requests are refused: they are the larger ones,
-	// and urgent requests would wait behind them.
-	urgentTargets = 1.0
-	// leastAfter is the shortest time after which a refused request is asked back.
-	leastAfter = 200 * time.Millisecond
+	// maxFirstEventTargets limits the expected time to a stream's first event, in multiples
+	// of the latency target. A request beyond it would be late, would delay the requests
+	// queued behind it, and would mostly be abandoned: callers wait for four targets.
+	maxFirstEventTargets = 3
+	// maxUrgentWaitTargets limits the queue of a replica that gets less urgent requests, in
+	// multiples of the latency target of the service's most urgent route. The less urgent
+	// requests are the larger ones, and urgent requests would wait behind them.
+	maxUrgentWaitTargets = 1.0
+	// minRetryAfter is the shortest Retry-After of a rejected request.
+	minRetryAfter = 200 * time.Millisecond
 )
 
-// tooLate returns a refusal when the request had better come back later.
-func (r *run) tooLate(choice *schedule.Choice, now time.Time) error {
+// admit returns an error with a Retry-After if the chosen replica would answer the request
+// too late, or if the request would delay more urgent ones. A request that may have reached
+// a replica before is always admitted.
+func (r *run) admit(choice *schedule.Choice, now time.Time) error {
 	if r.arrived > 0 {
 		return nil
 	}
 	left := r.req.Deadline.Sub(now)
 	if !r.d.Off[mechanism.LateRefusal] {
-		left = min(left, patience(r.req.Route))
+		left = min(left, maxExpected(r.req.Route))
 	}
 	if choice.Expected > left {
 		return errkind.New(errkind.Overloaded, fmt.Sprintf("the first answer is expected after %d ms, and accepted up to %d ms",
-			choice.Expected.Milliseconds(), left.Milliseconds())).After(max(leastAfter, choice.Expected-left))
+			choice.Expected.Milliseconds(), left.Milliseconds())).After(max(minRetryAfter, choice.Expected-left))
 	}
 	s := r.req.Service
 	if r.d.Off[mechanism.UrgentRefusal] || r.req.Route.Kind != config.Streaming || s.UrgentTarget == 0 || r.req.Route.Priority <= s.UrgentPriority {
 		return nil
 	}
-	limit := time.Duration(urgentTargets * float64(s.UrgentTarget))
+	limit := time.Duration(maxUrgentWaitTargets * float64(s.UrgentTarget))
 	if choice.Waiting <= limit {
 		return nil
 	}
 	return errkind.New(errkind.Overloaded, fmt.Sprintf("the wait is expected to be %d ms, and %d ms are left to more urgent requests",
-		choice.Waiting.Milliseconds(), limit.Milliseconds())).After(max(leastAfter, choice.Waiting))
+		choice.Waiting.Milliseconds(), limit.Milliseconds())).After(max(minRetryAfter, choice.Waiting))
 }
 
-// patience returns the longest expected time to the first event of a stream that
-// is accepted; for other answers the deadline says so.
-func patience(route *config.Route) time.Duration {
+// maxExpected returns the longest expected time to the first event at which a streaming
+// request is admitted. Other requests are limited by their deadline only.
+func maxExpected(route *config.Route) time.Duration {
 	if route.Kind != config.Streaming || route.LatencyTarget <= 0 {
 		return unlimited
 	}
-	return lateTargets * route.LatencyTarget
+	return maxFirstEventTargets * route.LatencyTarget
 }
 
-// refusePoison returns a denial of a request under which servers crash, wherever it came
-// from: each further server would end too, with all that it runs for others. It is asked
-// before each attempt, as other hosts may have seen the last crash meanwhile.
-func (r *run) refusePoison() error {
+// rejectPoison returns an error if the request is quarantined because servers crashed while
+// running it, whoever sent it. Each further server would crash too, along with all requests
+// that it is running. It is called before each attempt, as another host may have reported a
+// crash since the last one.
+func (r *run) rejectPoison() error {
 	n := r.d.crashes.Refused(r.report.Digest, clock.Now())
 	if n == 0 {
 		return nil
@@ -98,24 +102,25 @@
 	return errkind.New(errkind.Quarantined, fmt.Sprintf("%d backend servers crashed while they were running this request; it is not sent to others", n))
 }
 
-// errPoison ends attempts at a request under which servers crash.
-var errPoison = errors.New("servers crash under this request")
+// errQuarantined is the cause with which attempts at a quarantined request are cancelled.
+var errQuarantined = errors.New("request quarantined: backend servers crashed while running it")
 
-// guard ends the attempt if the request is refused before its answer begins: it may still
-// wait for its turn at a server, which would crash too.
-func (x *exchange) guard() {
+// watchQuarantine cancels the attempt if the request is quarantined before its answer starts:
+// the request may still be queued at a server, which would crash too.
+func (x *exchange) watchQuarantine() {
 	if !x.started {
-		x.unguard = x.d.crashes.OnRefused(x.report.Digest, func() { x.cancel(errPoison) })
+		x.stopQuarantineWatch = x.d.crashes.OnRefused(x.report.Digest, func() { x.cancel(errQuarantined) })
 	}
 }
 
-// answerBegins ends the guard: the server runs the request and lives.
-func (x *exchange) answerBegins() {
-	if x.unguard != nil {
-		x.unguard()
-		x.unguard = nil
+// unwatchQuarantine stops watching for a quarantine. It is called once the answer starts, as
+// the server is then running the request without a crash, and when the attempt ends.
+func (x *exchange) unwatchQuarantine() {
+	if x.stopQuarantineWatch != nil {
+		x.stopQuarantineWatch()
+		x.stopQuarantineWatch = nil
 	}
 }
 
-// unlimited stands for no bound.
+// unlimited stands for the absence of a limit.
 const unlimited = 24 * time.Hour
--- a/internal/dispatch/admission_test.go
+++ b/internal/dispatch/admission_test.go
@@ -12,9 +12,9 @@
 	"github.com/briarlink/briarlink/internal/mechanism"
 )
 
-// crowded plays a streaming request while every replica has unread tokens of other
-// hosts: the load of a burst, or of a fleet that has lost a quarter of its replicas.
-func crowded(t *testing.T, unread int32, priority int, off mechanism.Off) (err error) {
+// runUnderLoad dispatches a streaming request while every replica has pending prefill of other
+// hosts' requests, as in a burst or after the loss of a quarter of the replicas.
+func runUnderLoad(t *testing.T, pendingPrefill int32, priority int, off mechanism.Off) (err error) {
 	t.Helper()
 	synctest.Test(t, func(*testing.T) {
 		f := &fleet{ranAt: map[string]bool{}}
@@ -22,7 +22,7 @@
 		d.Off = off
 		var work []*pb.ReplicaLoad
 		for _, r := range table.Snapshot(testService, "", 0, time.Now()) {
-			work = append(work, &pb.ReplicaLoad{Replica: r.ID, Requests: 5, PrefillTokens: unread})
+			work = append(work, &pb.ReplicaLoad{Replica: r.ID, Requests: 5, PrefillTokens: pendingPrefill})
 		}
 		table.SetLoads("other", work, time.Now())
 		req := testRequest(config.Streaming, false, 1)
@@ -37,34 +37,35 @@
 	return err
 }
 
-// TestLessUrgentIsRefusedBeforeUrgentWaits: long requests beyond the urgent ones'
-// target would make them all late. They are refused at once, with the wait that is
-// expected as the time to come back; urgent ones are served.
-func TestLessUrgentIsRefusedBeforeUrgentWaits(t *testing.T) {
-	const unread = 30_000 // 0.6 s of reading
-	err := crowded(t, unread, 1, nil)
+// TestLessUrgentRequestsAreRejectedFirst guards against late answers to all urgent requests
+// because long, less urgent ones are admitted while the queue already takes up the urgent
+// latency target. The less urgent ones must be rejected at once, with the expected wait as
+// Retry-After, and the urgent ones served.
+func TestLessUrgentRequestsAreRejectedFirst(t *testing.T) {
+	const pendingPrefill = 30_000 // 0.6 s of prefill
+	err := runUnderLoad(t, pendingPrefill, 1, nil)
 	if !errkind.Is(err, errkind.Overloaded) {
 		t.Fatalf("a less urgent request: %v", err)
 	}
 	if after := errkind.From(err).Retry(); after < 500*time.Millisecond || after > 700*time.Millisecond {
-		t.Errorf("asked back after %v, 600 ms of reading are under way", after)
+		t.Errorf("Retry-After of %v, but 600 ms of prefill are pending", after)
 	}
-	if err := crowded(t, unread, 0, nil); err != nil {
+	if err := runUnderLoad(t, pendingPrefill, 0, nil); err != nil {
 		t.Errorf("an urgent request: %v", err)
 	}
-	if err := crowded(t, unread/2, 1, nil); err != nil {
-		t.Errorf("a less urgent request behind half as much: %v", err)
+	if err := runUnderLoad(t, pendingPrefill/2, 1, nil); err != nil {
+		t.Errorf("a less urgent request behind half the pending prefill: %v", err)
 	}
-	if err := crowded(t, unread, 1, mechanism.Off{mechanism.UrgentRefusal: true}); err != nil {
-		t.Errorf("switched off: %v", err)
+	if err := runUnderLoad(t, pendingPrefill, 1, mechanism.Off{mechanism.UrgentRefusal: true}); err != nil {
+		t.Errorf("with urgent-refusal disabled: %v", err)
 	}
 }
 
-// TestHopelesslyLateIsRefused: a first event after more than three targets comes when
-// most callers have left.
-func TestHopelesslyLateIsRefused(t *testing.T) {
-	const unread = 150_000 // 3 s of reading
-	if err := crowded(t, unread, 0, nil); !errkind.Is(err, errkind.Overloaded) || errkind.From(err).Retry() <= 0 {
-		t.Errorf("expected after 3 s, with a target of 0.8 s: %v", err)
+// TestRequestExpectedTooLateIsRejected: after more than three latency targets most callers have
+// left before the first event.
+func TestRequestExpectedTooLateIsRejected(t *testing.T) {
+	const pendingPrefill = 150_000 // 3 s of prefill
+	if err := runUnderLoad(t, pendingPrefill, 0, nil); !errkind.Is(err, errkind.Overloaded) || errkind.From(err).Retry() <= 0 {
+		t.Errorf("first event expected after 3 s, with a target of 0.8 s: %v", err)
 	}
 }
--- a/internal/dispatch/answer.go
+++ b/internal/dispatch/answer.go
@@ -16,12 +16,12 @@
 	"github.com/briarlink/briarlink/platform"
 )
 
-// refused takes a true "not run".
-func (x *exchange) refused(resp *upstream.Response) (replica.Result, error) {
-	_, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxWhole))
+// handleNotRun handles an answer stating that the replica did not run the request.
+func (x *exchange) handleNotRun(resp *upstream.Response) (replica.Result, error) {
+	_, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxBufferedAnswer))
 	resp.Finish(err == nil)
 	if resp.Status == http.StatusMisdirectedRequest {
-		x.d.misdirected(x.choice, resp.Answer, x.req.Caller.Model)
+		x.d.handleMisdirected(x.choice, resp.Answer, x.req.Caller.Model)
 	}
 	reason := fmt.Sprintf("the replica refused with %d", resp.Status)
 	if resp.Answer.RetryAfter > 0 {
@@ -30,26 +30,26 @@
 	return replica.Refused, errkind.New(errkind.BackendRefused, reason)
 }
 
-// misdirected learns from a replica that is not the one expected: another start
-// has its address, or its weights are not those expected.
-func (d *Dispatcher) misdirected(choice *schedule.Choice, a platform.ReplicaAnswer, model string) {
+// handleMisdirected handles the answer of a replica that is not the expected one: another
+// incarnation has its address, or it holds other weights than expected.
+func (d *Dispatcher) handleMisdirected(choice *schedule.Choice, a platform.ReplicaAnswer, model string) {
 	if a.Instance != "" && a.Instance != choice.ID {
 		d.replicas.RemoveAt(choice.ID, choice.Address)
 		return
 	}
-	// Which weights it holds it does not say: those wanted by now may have overtaken
-	// those of a late order.
+	// The answer does not state which weights the replica holds. Newer ones may have been
+	// requested while a delayed load command was carried out, so the version is not guessed.
 	d.replicas.MarkUnsure(choice.ID, model, choice.Weights, clock.Now())
 }
 
-// whole reads the answer to its end before any of it is passed on, so that a
-// broken one can be replaced.
-func (x *exchange) whole(ctx context.Context, resp *upstream.Response) (replica.Result, error) {
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxWhole))
+// forwardBuffered reads the answer to its end before any of it is forwarded, so that the
+// request can be retried if the answer breaks off.
+func (x *exchange) forwardBuffered(ctx context.Context, resp *upstream.Response) (replica.Result, error) {
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxBufferedAnswer))
 	resp.Finish(err == nil)
 	now := clock.Now()
 	if err != nil {
-		if ctx.Err() != nil && !errors.Is(context.Cause(ctx), errSilent) {
+		if ctx.Err() != nil && !errors.Is(context.Cause(ctx), errUnresponsive) {
 			return replica.Cancelled, errkind.Wrap(errkind.BackendLost, err, "the attempt was ended")
 		}
 		return replica.Lost, errkind.Wrap(errkind.BackendLost, err, "the answer was cut")
@@ -58,7 +58,7 @@
 	x.report.First = now.Sub(x.run.began)
 	header := platform.AnswerHeaders(resp.Header)
 	if resp.Status >= http.StatusInternalServerError {
-		x.failure = &whole{resp.Status, header, body}
+		x.errorAnswer = &bufferedAnswer{resp.Status, header, body}
 		return replica.Failed, errkind.New(errkind.BackendError, fmt.Sprintf("the replica answered %d", resp.Status))
 	}
 	x.report.Status = resp.Status
@@ -68,8 +68,8 @@
 	return replica.Answered, nil
 }
 
-// stream passes events on as they come.
-func (x *exchange) stream(ctx context.Context, resp *upstream.Response) (replica.Result, error) {
+// forwardStream forwards events to the caller as they arrive.
+func (x *exchange) forwardStream(ctx context.Context, resp *upstream.Response) (replica.Result, error) {
 	x.fire(eventStream)
 	events := newEventReader(resp.Body)
 	stall := x.watchStall()
@@ -81,34 +81,34 @@
 			return x.streamEnded(resp)
 		}
 		if err == nil {
-			err = x.inOrder(ev)
+			err = x.checkEventOrder(ev)
 		}
 		if err != nil {
 			resp.Finish(false)
 			return x.streamLost(ctx, err)
 		}
-		stall.feed()
-		if err := x.passOn(resp, ev); err != nil {
+		stall.reset()
+		if err := x.forwardEvent(resp, ev); err != nil {
 			resp.Finish(false)
 			return replica.Cancelled, errkind.Wrap(errkind.CallerGone, err, "the caller left")
 		}
 	}
 }
 
-// inOrder checks that an event follows the one before it.
-func (x *exchange) inOrder(ev event) error {
+// checkEventOrder returns an error unless the event directly follows the previous one.
+func (x *exchange) checkEventOrder(ev event) error {
 	if ev.number == 0 || x.lastEvent > 0 && ev.number != x.lastEvent+1 {
-		return errEventNumber
+		return errEventOrder
 	}
 	return nil
 }
 
-func (x *exchange) passOn(resp *upstream.Response, ev event) error {
+func (x *exchange) forwardEvent(resp *upstream.Response, ev event) error {
 	now := clock.Now()
 	x.choice.Flight.First(now)
 	if !x.started {
 		x.started = true
-		x.answerBegins()
+		x.unwatchQuarantine()
 		x.report.First = now.Sub(x.run.began)
 		x.report.Status = resp.Status
 		x.d.scheduler.Read(x.choice, now)
@@ -120,12 +120,12 @@
 	return x.out.Event(ev.data)
 }
 
-// streamEnded ends a stream that its replica ended cleanly.
+// streamEnded handles the clean end of a stream.
 func (x *exchange) streamEnded(resp *upstream.Response) (replica.Result, error) {
 	if x.started {
 		return replica.Answered, nil
 	}
-	// A resumed stream may have nothing left to say.
+	// The stream ended without any event; the caller still needs the headers.
 	x.started = true
 	x.report.Status = resp.Status
 	if err := x.out.Start(resp.Status, platform.AnswerHeaders(resp.Header)); err != nil {
@@ -135,7 +135,7 @@
 }
 
 func (x *exchange) streamLost(ctx context.Context, err error) (replica.Result, error) {
-	if ctx.Err() != nil && !errors.Is(context.Cause(ctx), errSilent) {
+	if ctx.Err() != nil && !errors.Is(context.Cause(ctx), errUnresponsive) {
 		return replica.Cancelled, errkind.Wrap(errkind.BackendLost, err, "the attempt was ended")
 	}
 	if x.lastEvent > 0 {
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -20,61 +20,62 @@
 )
 
 const (
-	// maxWhole bounds an answer that is read whole before it is passed on.
-	maxWhole = 16 << 20
-	// idleOnce is the longest that a connection may have been idle for a request
-	// that may not be repeated: if the replica closes it meanwhile, the request is
-	// lost, and a new connection costs a millisecond.
-	idleOnce      = time.Second
-	contentEvents = "text/event-stream"
+	// maxBufferedAnswer limits the size in bytes of an answer that is not streamed.
+	maxBufferedAnswer = 16 << 20
+	// maxIdleNonRepeatable is the longest idle time of a connection that is reused for a
+	// request that must not be retried. The request would be lost if the replica closed the
+	// connection at the same moment, while a new connection costs only a millisecond.
+	maxIdleNonRepeatable = time.Second
+	eventStreamType      = "text/event-stream"
 )
 
-// exchange is one attempt at one replica.
+// exchange is one attempt to run a request at one replica.
 type exchange struct {
 	*run
 	choice *schedule.Choice
 	began  time.Time
 	cancel context.CancelCauseFunc
-	// watch looks for a hanging replica; nil where no other may be tried.
-	watch *time.Timer
-	// unguard ends the watch for the request's refusal; nil where its answer has begun.
-	unguard func()
+	// hangTimer checks for an unresponsive replica; nil if no other replica may be tried.
+	hangTimer *time.Timer
+	// stopQuarantineWatch stops watching for a quarantine of the request; nil once the answer
+	// has started.
+	stopQuarantineWatch func()
 }
 
-// attempt sends the request to the chosen replica and passes its answer on.
+// attempt sends the request to the chosen replica and forwards its answer.
 func (r *run) attempt(ctx context.Context, choice *schedule.Choice) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	x := &exchange{run: r, choice: choice, began: clock.Now(), cancel: cancel}
-	x.watchSilence()
-	x.guard()
-	defer x.answerBegins()
+	x.watchHang()
+	x.watchQuarantine()
+	defer x.unwatchQuarantine()
 	ran := r.report.Ran
 	result, err := x.send(ctx)
-	if x.watch != nil {
-		x.watch.Stop()
+	if x.hangTimer != nil {
+		x.hangTimer.Stop()
 	}
-	if err != nil && errors.Is(context.Cause(ctx), errSilent) {
+	if err != nil && errors.Is(context.Cause(ctx), errUnresponsive) {
 		result = replica.Lost
-		err = errkind.Wrap(errkind.BackendLost, errSilent, "the replica does not answer")
+		err = errkind.Wrap(errkind.BackendLost, errUnresponsive, "the replica does not answer")
 	}
-	x.noteCrash(result, err, r.report.Ran > ran)
+	x.recordCrashEvidence(result, err, r.report.Ran > ran)
 	choice.Flight.End(result, clock.Now())
-	x.noteVersion(result)
+	x.recordVersionOutcome(result)
 	if result == replica.ConnectTimeout {
-		r.timedOut = choice.ID
+		r.connectTimedOut = choice.ID
 	}
 	if err != nil && r.report.First == 0 {
 		r.d.scheduler.Failed(choice)
 	}
-	r.note(choice, x.began, result, err)
+	r.recordAttempt(choice, x.began, result, err)
 	return err
 }
 
-// noteVersion tells what the end of the attempt says of the version of the server's
-// software. What says nothing of it, such as a refusal, a caller that left or a server that
-// is gone, is left out.
-func (x *exchange) noteVersion(result replica.Result) {
+// recordVersionOutcome counts the result for the canary release of the server's software
+// version. Results that say nothing about the version, such as a refusal, a caller that left
+// or a lost server, are not counted.
+func (x *exchange) recordVersionOutcome(result replica.Result) {
 	if result != replica.Answered && result != replica.Failed {
 		return
 	}
@@ -83,9 +84,9 @@
 	})
 }
 
-// noteCrash tells what the end of the attempt says of whether its server crashed, or was
-// crashed by the request.
-func (x *exchange) noteCrash(result replica.Result, err error, mayHaveRun bool) {
+// recordCrashEvidence reports the result to the detection of crashed servers and of poison
+// requests.
+func (x *exchange) recordCrashEvidence(result replica.Result, err error, mayHaveRun bool) {
 	now := clock.Now()
 	switch {
 	case result == replica.Answered || result == replica.Failed:
@@ -99,8 +100,8 @@
 	}
 }
 
-// note records the attempt for the request's log line.
-func (r *run) note(choice *schedule.Choice, began time.Time, result replica.Result, err error) {
+// recordAttempt adds the attempt to the report, which becomes the request's log line.
+func (r *run) recordAttempt(choice *schedule.Choice, began time.Time, result replica.Result, err error) {
 	reason := ""
 	if err != nil {
 		reason = err.Error()
@@ -117,22 +118,22 @@
 	x.arrived++
 	x.choice.Flight.Told(resp.Answer, clock.Now())
 	if resp.Answer.NotRun {
-		return x.refused(resp)
+		return x.handleNotRun(resp)
 	}
 	x.report.Ran++
 	if !resp.Answer.Sealed || resp.Answer.ID != x.req.ID {
 		resp.Finish(false)
 		return replica.Lost, errkind.New(errkind.BackendLost, fmt.Sprintf("the replica answered %d without its seal and the request's ID", resp.Status))
 	}
-	isStream := resp.Status == http.StatusOK && strings.HasPrefix(resp.Header.Get("Content-Type"), contentEvents)
+	isStream := resp.Status == http.StatusOK && strings.HasPrefix(resp.Header.Get("Content-Type"), eventStreamType)
 	switch {
 	case isStream:
-		return x.stream(ctx, resp)
+		return x.forwardStream(ctx, resp)
 	case x.started:
 		resp.Finish(false)
 		return replica.Lost, errkind.New(errkind.BackendLost, fmt.Sprintf("the replica answered %d in place of the rest of the stream", resp.Status))
 	default:
-		return x.whole(ctx, resp)
+		return x.forwardBuffered(ctx, resp)
 	}
 }
 
@@ -144,7 +145,7 @@
 		x.report.Ran++
 	}
 	switch {
-	case ctx.Err() != nil && !errors.Is(context.Cause(ctx), errSilent):
+	case ctx.Err() != nil && !errors.Is(context.Cause(ctx), errUnresponsive):
 		return replica.Cancelled, errkind.Wrap(errkind.BackendLost, err, "the attempt was ended")
 	case !sent && failed != nil && failed.Timeout():
 		return replica.ConnectTimeout, errkind.Wrap(errkind.BackendUnreachable, err, "no connection to the replica in time")
@@ -171,14 +172,14 @@
 	}
 	if req.Service.Engine != nil {
 		out.HasPriority = true
-		out.Priority = priority(req)
+		out.Priority = enginePriority(req)
 	}
 	if x.lastEvent > 0 {
 		out.LastEvent = strconv.FormatInt(x.lastEvent, 10)
 	}
 	maxIdle := time.Duration(0)
 	if !req.Route.Repeatable() {
-		maxIdle = idleOnce
+		maxIdle = maxIdleNonRepeatable
 	}
 	return &upstream.Request{
 		ID: req.ID, Method: req.Method, Target: req.Target, Host: req.Host,
@@ -187,16 +188,16 @@
 }
 
 const (
-	// maxPriority is the least urgent priority that engines know.
+	// maxPriority is the least urgent priority that engines accept.
 	maxPriority = 9
-	// routeRanks is how many ranks of routes are told apart within a priority of
-	// organisations.
+	// routeRanks is the number of route priorities that are distinguished within one
+	// organisation priority.
 	routeRanks = 3
 )
 
-// priority ranks a request for an engine: by its organisation's priority, which
-// goes first, then by its route's.
-func priority(req *Request) int {
+// enginePriority returns the priority that is sent to an engine, 0 being the most urgent.
+// The organisation's priority takes precedence over the route's.
+func enginePriority(req *Request) int {
 	rank := min(req.Route.Priority, routeRanks-1)
 	if o := req.Organisation; o != nil && o.HasPriority {
 		rank += routeRanks * o.Priority
--- a/internal/dispatch/connect_test.go
+++ b/internal/dispatch/connect_test.go
@@ -19,35 +19,34 @@
 	"github.com/briarlink/briarlink/test/standin/wire"
 )
 
-// testDialTimeout is what a connection attempt that gets no answer takes.
+// testDialTimeout is how long a connection attempt without an answer takes.
 const testDialTimeout = 400 * time.Millisecond
 
-// slowDials is a network in which the first attempts to connect time out, or all are
-// refused, with the errors of a real dialer. All servers behind it serve.
-type slowDials struct {
-	timeouts int64
-	refuses  bool
-	dials    atomic.Int64
+// fakeNetwork is a network in which the first connection attempts time out, or all are
+// refused, with the errors of a real dialer. Every server behind it is healthy.
+type fakeNetwork struct {
+	timeouts  int64
+	refuseAll bool
+	dials     atomic.Int64
 }
 
-func (s *slowDials) dial(ctx context.Context, address string) (net.Conn, error) {
+func (s *fakeNetwork) dial(ctx context.Context, address string) (net.Conn, error) {
 	nth := s.dials.Add(1)
-	if s.refuses {
+	if s.refuseAll {
 		return nil, dialError(os.NewSyscallError("connect", syscall.ECONNREFUSED))
 	}
 	if nth <= s.timeouts {
-		return nil, dialTimesOut(ctx)
+		return nil, dialTimeout(ctx)
 	}
 	near, far := net.Pipe()
-	go serveAll(far)
+	go serveRequests(far)
 	return near, nil
 }
 
 func dialError(err error) error { return &net.OpError{Op: "dial", Net: "tcp4", Err: err} }
 
-// dialTimesOut waits as long as an attempt to connect that gets no answer, and returns
-// its error.
-func dialTimesOut(ctx context.Context) error {
+// dialTimeout blocks for testDialTimeout, or until ctx ends, and returns the dialer's error.
+func dialTimeout(ctx context.Context) error {
 	select {
 	case <-time.After(testDialTimeout):
 		return dialError(os.ErrDeadlineExceeded)
@@ -56,8 +55,8 @@
 	}
 }
 
-// serveAll answers one request after the other on a connection.
-func serveAll(c net.Conn) {
+// serveRequests answers the requests on a connection one after the other.
+func serveRequests(c net.Conn) {
 	defer c.Close()
 	r := bufio.NewReader(c)
 	for {
@@ -72,8 +71,8 @@
 	}
 }
 
-// newSlowDispatcher returns a dispatcher over some servers behind a network.
-func newSlowDispatcher(s *slowDials, servers int) (*Dispatcher, *replica.Table) {
+// newNetworkDispatcher returns a dispatcher with that many servers behind a fake network.
+func newNetworkDispatcher(s *fakeNetwork, servers int) (*Dispatcher, *replica.Table) {
 	d, table := newDispatcher(&fleet{})
 	for _, r := range table.Snapshot(testService, "", 0, time.Now())[servers:] {
 		table.Remove(r.ID, true)
@@ -82,15 +81,16 @@
 	return d, table
 }
 
-// outcome is how one request ended, and after how long.
+// outcome is the result of one request.
 type outcome struct {
 	err  error
 	body string
 	took time.Duration
 }
 
-// ask sends a request of two seconds, which is what callers of plain services leave.
-func ask(d *Dispatcher) outcome {
+// sendRequest dispatches a request with a deadline of two seconds, as callers of plain services
+// set it.
+func sendRequest(d *Dispatcher) outcome {
 	req := nonIdempotent()
 	req.Deadline = time.Now().Add(2 * time.Second)
 	ctx, cancel := context.WithDeadline(context.Background(), req.Deadline)
@@ -101,24 +101,23 @@
 	return outcome{err, out.body, time.Since(began)}
 }
 
-// TestOneConnectTimeoutRefusesNobody. Seen: the only server of a plain service served,
-// but a request was refused as "1 down or leaving" although its caller had most of two
-// seconds left. How: one attempt to connect took longer than the dial timeout, on a host
-// whose processors were all taken; the table held the server for unreachable, and both
-// that request and those that followed were refused without another attempt. Cause: a
-// timeout, which may be the host's own slowness or one lost packet, was taken for the
-// certainty that a refused connection gives. Proof: a network of which one attempt in
-// virtual time takes the whole timeout; nothing else speaks against the server.
-func TestOneConnectTimeoutRefusesNobody(t *testing.T) {
+// TestSingleConnectTimeoutRejectsNoRequest guards against requests that are rejected as "1 down
+// or leaving" although the only server of a plain service is healthy and their callers have
+// most of two seconds left. It happened when one connection attempt exceeded the dial timeout on
+// a host without free CPU: the server was marked down, and this request and the following ones
+// were rejected without another attempt. Unlike a refused connection, a timeout does not prove
+// that the server is down: the host itself may be slow, or one packet may be lost. In this test
+// one attempt takes the whole timeout in virtual time, and nothing else indicates a failure.
+func TestSingleConnectTimeoutRejectsNoRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &slowDials{timeouts: 1}
-		d, table := newSlowDispatcher(s, 1)
+		s := &fakeNetwork{timeouts: 1}
+		d, table := newNetworkDispatcher(s, 1)
 		defer d.pool.Close()
-		first := ask(d)
+		first := sendRequest(d)
 		if first.err != nil || first.body != wholeBody {
 			t.Errorf("the request whose connection timed out: %v after %v", first.err, first.took)
 		}
-		if got := ask(d); got.err != nil || got.took > 0 {
+		if got := sendRequest(d); got.err != nil || got.took > 0 {
 			t.Errorf("the next request: %v after %v", got.err, got.took)
 		}
 		if r := table.Snapshot(testService, "", 0, time.Now())[0]; !r.Usable || r.Doubted {
@@ -127,23 +126,23 @@
 	})
 }
 
-// TestRequestsBesideAConnectTimeoutAreNotRefused: those that come while the first one's
-// connection is slow, and those that come right after it has timed out.
-func TestRequestsBesideAConnectTimeoutAreNotRefused(t *testing.T) {
+// TestConcurrentConnectTimeoutsRejectNoRequest covers requests that arrive while the first
+// one's connection attempt is pending, and those that arrive right after it has timed out.
+func TestConcurrentConnectTimeoutsRejectNoRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const beside = 5
-		s := &slowDials{timeouts: beside}
-		d, _ := newSlowDispatcher(s, 1)
+		const concurrent = 5
+		s := &fakeNetwork{timeouts: concurrent}
+		d, _ := newNetworkDispatcher(s, 1)
 		defer d.pool.Close()
-		got := make(chan outcome, 2*beside)
-		for range beside {
-			go func() { got <- ask(d) }()
+		got := make(chan outcome, 2*concurrent)
+		for range concurrent {
+			go func() { got <- sendRequest(d) }()
 		}
 		time.Sleep(testDialTimeout + testDialTimeout/10)
-		for range beside {
-			go func() { got <- ask(d) }()
+		for range concurrent {
+			go func() { got <- sendRequest(d) }()
 		}
-		for range 2 * beside {
+		for range 2 * concurrent {
 			if o := <-got; o.err != nil {
 				t.Errorf("%v after %v", o.err, o.took)
 			}
@@ -151,54 +150,54 @@
 	})
 }
 
-// TestDarkServerIsRefusedQuickly: two attempts one after the other are enough to hold the
-// only server for unreachable; from then on nobody waits for it.
-func TestDarkServerIsRefusedQuickly(t *testing.T) {
+// TestUnreachableServerFailsFast: two consecutive connect timeouts mark the only server down;
+// later requests fail without waiting for it.
+func TestUnreachableServerFailsFast(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &slowDials{timeouts: 1000}
-		d, _ := newSlowDispatcher(s, 1)
-		first := ask(d)
+		s := &fakeNetwork{timeouts: 1000}
+		d, _ := newNetworkDispatcher(s, 1)
+		first := sendRequest(d)
 		if !errkind.Is(first.err, errkind.NoBackend) || first.took > 2*testDialTimeout {
 			t.Errorf("the first request: %v after %v", first.err, first.took)
 		}
-		next := ask(d)
+		next := sendRequest(d)
 		if !errkind.Is(next.err, errkind.NoBackend) || next.took > 0 || s.dials.Load() != 2 {
 			t.Errorf("the next request: %v after %v, %d attempts to connect", next.err, next.took, s.dials.Load())
 		}
 	})
 }
 
-// TestRefusedConnectionIsCertain: it is not tried a second time.
-func TestRefusedConnectionIsCertain(t *testing.T) {
+// TestRefusedConnectionIsNotRetried: a refused connection proves that the server is down.
+func TestRefusedConnectionIsNotRetried(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &slowDials{refuses: true}
-		d, _ := newSlowDispatcher(s, 1)
+		s := &fakeNetwork{refuseAll: true}
+		d, _ := newNetworkDispatcher(s, 1)
 		for range 2 {
-			if got := ask(d); !errkind.Is(got.err, errkind.NoBackend) || got.took > 0 || s.dials.Load() != 1 {
+			if got := sendRequest(d); !errkind.Is(got.err, errkind.NoBackend) || got.took > 0 || s.dials.Load() != 1 {
 				t.Errorf("%v after %v, %d attempts to connect", got.err, got.took, s.dials.Load())
 			}
 		}
 	})
 }
 
-// TestOtherServersComeBeforeASecondAttempt: where another server serves, none is tried
-// twice, and the one that did not answer gets nothing more.
-func TestOtherServersComeBeforeASecondAttempt(t *testing.T) {
+// TestOtherServersAreTriedBeforeConnectRetry: if another server answers, the one whose
+// connection timed out is not tried again, and it is suspected from then on.
+func TestOtherServersAreTriedBeforeConnectRetry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &slowDials{timeouts: 1}
-		d, table := newSlowDispatcher(s, 2)
+		s := &fakeNetwork{timeouts: 1}
+		d, table := newNetworkDispatcher(s, 2)
 		defer d.pool.Close()
-		if got := ask(d); got.err != nil || got.took != testDialTimeout || s.dials.Load() != 2 {
+		if got := sendRequest(d); got.err != nil || got.took != testDialTimeout || s.dials.Load() != 2 {
 			t.Errorf("%v after %v, %d attempts to connect", got.err, got.took, s.dials.Load())
 		}
-		doubted := 0
+		suspected := 0
 		for _, r := range table.Snapshot(testService, "", 0, time.Now()) {
 			if r.Doubted {
-				doubted++
+				suspected++
 			}
 		}
-		if doubted != 1 {
-			t.Errorf("%d servers are doubted, want 1", doubted)
+		if suspected != 1 {
+			t.Errorf("%d servers are suspected, want 1", suspected)
 		}
 	})
 }
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -1,6 +1,6 @@
-// Package dispatch sends a request to replicas until one has answered it, or
-// until it must be given up. Whether a request may have run is known at each
-// step; what may not be repeated is sent on only after a certain "not run".
+// Package dispatch sends a request to replicas, one after the other, until one has answered
+// it or no further attempt is allowed. It tracks whether the request may have run: one that
+// must not be repeated is only retried if it certainly did not run.
 package dispatch
 
 import (
@@ -40,8 +40,7 @@
 	eventFail   = "fail"
 )
 
-// maxSends bounds the replicas that one request is offered to, those that
-// refused it included.
+// maxSends limits the attempts at one request, including those that replicas refused.
 const maxSends = 5
 
 // newMachine returns the state machine of one request.
@@ -58,7 +57,7 @@
 // Diagram returns the state machine as a Mermaid diagram.
 func Diagram() string { return statemachine.Diagram(newMachine()) }
 
-// Request is a caller's request that may be dispatched.
+// Request is a caller's request, matched to a route and a service.
 type Request struct {
 	ID     string
 	Method string
@@ -76,7 +75,7 @@
 	Deadline     time.Time
 }
 
-// digest returns what is the same for every attempt at the request.
+// digest returns a hash that is equal for every attempt at the request.
 func (r *Request) digest() quarantine.Digest {
 	organisation := ""
 	if r.Organisation != nil {
@@ -85,34 +84,36 @@
 	return quarantine.DigestOf(organisation, r.Method, r.Host, r.Target, r.Body)
 }
 
-// Answer is the caller's side of a request.
+// Answer writes the answer to the caller.
 type Answer interface {
-	// Whole answers with a replica's whole answer.
+	// Whole writes a complete answer that is not streamed.
 	Whole(status int, h http.Header, body []byte) error
-	// Start begins a stream with its first replica's headers.
+	// Start writes the headers of a stream; they are those of the first replica that streams.
 	Start(status int, h http.Header) error
-	// Event passes on a whole event.
+	// Event writes one complete event of a stream.
 	Event(data []byte) error
 }
 
-// Report is what became of a request, for logs and metrics.
+// Report describes the outcome of a request for logs and metrics.
 type Report struct {
 	State   string
 	Replica string
-	// Sends counts the replicas it was offered to, Ran those that may have run it.
+	// Sends counts the attempts, Ran those in which the replica may have run the request.
 	Sends int
 	Ran   int
-	// Status is that of the replica's answer, or 0.
+	// Status is the HTTP status of the replica's answer, 0 without an answer.
 	Status int
-	// First is the time to the answer's head or a stream's first event.
+	// First is the time until the answer, or a stream's first event, was received; Expected
+	// is the estimate of it.
 	First    time.Duration
 	Expected time.Duration
-	// Prompt, Cached and Fetched are tokens, the latter two as expected.
+	// Prompt is the number of prompt tokens. Of these, Cached were expected in the replica's
+	// KV cache, and Fetched were expected to be transferred from Source.
 	Prompt  int
 	Cached  int
 	Fetched int
-	// Shared tokens of the prompt belong to parts that other requests may share;
-	// the last of them is named Prefix.
+	// Shared is the number of prompt tokens in prefix blocks that other requests may share;
+	// Prefix is the ID of the last such block.
 	Shared  int
 	Prefix  string
 	Salt    string
@@ -120,15 +121,14 @@
 	Sink    string
 	Weights int64
 	Resumed int
-	// Holds counts the waits for another request's reading.
+	// Holds counts how often the request waited for another request's prefill.
 	Holds int
-	// Digest is equal for attempts at the same request, whatever their IDs.
+	// Digest is equal for all attempts at the same request, even under different IDs.
 	Digest quarantine.Digest
-	// Tries holds each attempt's replica and result.
-	Tries []Try
+	Tries  []Try
 }
 
-// Try is one attempt.
+// Try is the outcome of one attempt.
 type Try struct {
 	Replica string
 	Result  string
@@ -143,11 +143,11 @@
 	pool      *upstream.Pool
 	budget    *retry.Budget
 	crashes   *quarantine.Table
-	// Off holds the mechanisms that are switched off; it is set before use.
+	// Off holds the disabled mechanisms. It must be set before the first request.
 	Off mechanism.Off
 }
 
-// New returns a dispatcher over the tables of one host.
+// New returns a dispatcher that works on the tables of one host.
 func New(s *schedule.Scheduler, replicas *replica.Table, pool *upstream.Pool, budget *retry.Budget, crashes *quarantine.Table) *Dispatcher {
 	return &Dispatcher{scheduler: s, replicas: replicas, pool: pool, budget: budget, crashes: crashes}
 }
@@ -160,30 +160,32 @@
 	machine *fsm.FSM
 	began   time.Time
 	exclude map[string]bool
-	// timedOut is the replica to which a connection timed out last, or "".
-	timedOut string
-	// triedAgain is set once such a replica was tried a second time.
-	triedAgain bool
-	// arrived counts the sends that may have reached a replica.
+	// connectTimedOut is the ID of the last replica to which a connection timed out, or "".
+	connectTimedOut string
+	// connectRetried is set once such a replica was allowed a second attempt.
+	connectRetried bool
+	// arrived counts the attempts that may have reached a replica.
 	arrived int
-	// lastEvent is the last event passed on, 0 before the first.
+	// lastEvent is the number of the last forwarded event, 0 before the first.
 	lastEvent int64
-	started   bool
-	// failure is a replica's own answer that reports a failure.
-	failure *whole
-	report  Report
+	// started is set once the headers of a stream are written to the caller.
+	started bool
+	// errorAnswer is the last answer with a server error; it is forwarded if no other
+	// replica answers.
+	errorAnswer *bufferedAnswer
+	report      Report
 }
 
-// whole is an answer that was read to its end.
-type whole struct {
+// bufferedAnswer is an answer that was read to its end before it is forwarded.
+type bufferedAnswer struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// Run dispatches a request and answers it through out. An error means that out
-// got no whole answer, and its kind says truly whether the request may have run.
-// Once ctx ends, the error comes at once.
+// Run dispatches a request and writes the answer to out. On an error, no complete answer was
+// written, and the kind of the error states whether the request may have run. Run returns as
+// soon as ctx ends.
 func (d *Dispatcher) Run(ctx context.Context, req *Request, out Answer) (Report, error) {
 	r := &run{d: d, req: req, out: out, machine: newMachine(), began: clock.Now(), exclude: map[string]bool{}}
 	r.report.Digest = req.digest()
@@ -207,19 +209,19 @@
 func (r *run) loop(ctx context.Context) error {
 	for {
 		if ctx.Err() != nil {
-			return r.final(ctx, ctx.Err())
+			return r.finish(ctx, ctx.Err())
 		}
-		if err := r.refusePoison(); err != nil {
-			return r.final(ctx, err)
+		if err := r.rejectPoison(); err != nil {
+			return r.finish(ctx, err)
 		}
 		choice, err := r.pick()
-		if err != nil && r.tryAgain(err) {
+		if err != nil && r.allowConnectRetry(err) {
 			choice, err = r.pick()
 		}
 		if err != nil {
-			return r.final(ctx, err)
+			return r.finish(ctx, err)
 		}
-		if r.held(ctx, choice) {
+		if r.hold(ctx, choice) {
 			continue
 		}
 		r.fire(eventSend)
@@ -227,24 +229,24 @@
 		if err == nil {
 			return nil
 		}
-		if !r.retryable(ctx, err) {
-			return r.final(ctx, err)
+		if !r.allowRetry(ctx, err) {
+			return r.finish(ctx, err)
 		}
 		r.exclude[choice.ID] = true
 		r.fire(eventRetry)
 	}
 }
 
-// tryAgain allows the replica to which a connection timed out a second attempt where no
-// other can take the request, and reports whether it did. Nothing was sent, so that any
-// request may be; one slow connection then costs the callers of a service with a single
-// server some time in place of a refusal.
-func (r *run) tryAgain(err error) bool {
-	if r.triedAgain || r.timedOut == "" || !errkind.Is(err, errkind.NoBackend) {
+// allowConnectRetry makes the replica to which a connection timed out eligible again if no
+// other replica can take the request, and reports whether it did so. It does this once a
+// request. Nothing was sent, so this is safe for any request. With it, one slow connection
+// delays the callers of a service with a single server rather than failing their requests.
+func (r *run) allowConnectRetry(err error) bool {
+	if r.connectRetried || r.connectTimedOut == "" || !errkind.Is(err, errkind.NoBackend) {
 		return false
 	}
-	r.triedAgain = true
-	delete(r.exclude, r.timedOut)
+	r.connectRetried = true
+	delete(r.exclude, r.connectTimedOut)
 	return true
 }
 
@@ -271,7 +273,7 @@
 	if choice.Hold > 0 {
 		return choice, nil
 	}
-	if err := r.tooLate(choice, now); err != nil {
+	if err := r.admit(choice, now); err != nil {
 		r.d.scheduler.Withdraw(choice, now)
 		return nil, err
 	}
@@ -285,35 +287,37 @@
 	return choice, nil
 }
 
-// retryable reports whether the request may be sent to another replica after
-// err, and takes the repeat from the budget.
-func (r *run) retryable(ctx context.Context, err error) bool {
+// allowRetry reports whether the request may be sent to another replica after err, and
+// charges the retry to the budget. A request that never reached a replica is retried without
+// charge.
+func (r *run) allowRetry(ctx context.Context, err error) bool {
 	if ctx.Err() != nil || r.report.Sends >= maxSends {
 		return false
 	}
 	switch errkind.From(err).Kind {
 	case errkind.BackendUnreachable:
-		return r.arrived == 0 || r.budgeted()
+		return r.arrived == 0 || r.takeRetryBudget()
 	case errkind.BackendRefused:
-		return r.budgeted()
+		return r.takeRetryBudget()
 	case errkind.BackendLost, errkind.BackendError:
-		return r.req.Route.Repeatable() && r.report.Ran < r.req.Route.Attempts && r.budgeted()
+		return r.req.Route.Repeatable() && r.report.Ran < r.req.Route.Attempts && r.takeRetryBudget()
 	default:
 		return false
 	}
 }
 
-func (r *run) budgeted() bool { return r.d.budget.Take(r.req.Service.Name, clock.Now()) }
+func (r *run) takeRetryBudget() bool { return r.d.budget.Take(r.req.Service.Name, clock.Now()) }
 
-// final answers with the replica's own failure where there is one, or returns
-// an error whose kind is true of all attempts together.
-func (r *run) final(ctx context.Context, err error) error {
-	if r.failure != nil && !r.started && ctx.Err() == nil {
-		r.report.Status = r.failure.status
-		return r.out.Whole(r.failure.status, r.failure.header, r.failure.body)
+// finish ends a request whose attempts have all failed. It forwards a replica's error answer
+// if there is one, and otherwise returns an error whose kind is correct for all attempts
+// together: if any of them may have run the request, the error must not say "not run".
+func (r *run) finish(ctx context.Context, err error) error {
+	if r.errorAnswer != nil && !r.started && ctx.Err() == nil {
+		r.report.Status = r.errorAnswer.status
+		return r.out.Whole(r.errorAnswer.status, r.errorAnswer.header, r.errorAnswer.body)
 	}
 	switch {
-	case errorsIsDeadline(ctx):
+	case deadlinePassed(ctx):
 		if r.report.Ran == 0 {
 			return errkind.Wrap(errkind.Overloaded, err, "the deadline passed before any replica ran the request")
 		}
@@ -328,4 +332,4 @@
 	return e
 }
 
-func errorsIsDeadline(ctx context.Context) bool { return ctx.Err() == context.DeadlineExceeded }
+func deadlinePassed(ctx context.Context) bool { return ctx.Err() == context.DeadlineExceeded }
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -32,25 +32,25 @@
 	"github.com/briarlink/briarlink/test/standin/wire"
 )
 
-// behaviour is what a replica does with one request.
+// behaviour is what a scripted replica does with one request.
 type behaviour string
 
 const (
-	unreachable behaviour = "unreachable"
-	timesOut    behaviour = "does not answer a connection attempt"
-	refuses     behaviour = "refuses"
-	misdirects  behaviour = "misdirects"
-	reweighted  behaviour = "holds other weights"
-	cutsBefore  behaviour = "reads and cuts"
-	answers     behaviour = "answers"
-	fails       behaviour = "fails"
-	unsealed    behaviour = "answers without a seal"
-	foreign     behaviour = "answers another request"
-	cutsBody    behaviour = "cuts its answer"
-	hangs       behaviour = "hangs"
-	streams     behaviour = "streams"
-	cutsStream  behaviour = "cuts its stream"
-	skips       behaviour = "skips an event"
+	unreachable  behaviour = "unreachable"
+	timesOut     behaviour = "does not answer a connection attempt"
+	refuses      behaviour = "refuses"
+	misdirects   behaviour = "misdirects"
+	otherWeights behaviour = "holds other weights"
+	cutsBefore   behaviour = "reads and cuts"
+	answers      behaviour = "answers"
+	fails        behaviour = "fails"
+	unsealed     behaviour = "answers without a seal"
+	foreign      behaviour = "answers another request"
+	cutsBody     behaviour = "cuts its answer"
+	hangs        behaviour = "hangs"
+	streams      behaviour = "streams"
+	cutsStream   behaviour = "cuts its stream"
+	skips        behaviour = "skips an event"
 )
 
 var behaviours = []behaviour{
@@ -66,9 +66,10 @@
 
 // fleet is a set of scripted replicas behind in-memory connections.
 type fleet struct {
-	mu   sync.Mutex
+	mu sync.Mutex
+	// plan holds the behaviours of the coming connections, in order.
 	plan []behaviour
-	// runs counts how often the request ran; ranAt holds where.
+	// runs counts how often the request ran; ranAt holds the addresses of the replicas.
 	runs  int
 	ranAt map[string]bool
 }
@@ -79,14 +80,14 @@
 	case unreachable:
 		return nil, errors.New("refused")
 	case timesOut:
-		return nil, dialTimesOut(ctx)
+		return nil, dialTimeout(ctx)
 	}
 	near, far := net.Pipe()
 	go f.serve(far, address, b)
 	return near, nil
 }
 
-// next returns what the next connection's replica does; after the plan it answers.
+// next returns the behaviour of the next connection; after the end of the plan replicas answer.
 func (f *fleet) next() behaviour {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -129,7 +130,7 @@
 	case misdirects:
 		write(head(421) + wire.Instance + ": another\r\nContent-Length: 0\r\n\r\n")
 		return
-	case reweighted:
+	case otherWeights:
 		write(head(421) + wire.Instance + ": " + address + "\r\nContent-Length: 0\r\n\r\n")
 		return
 	}
@@ -171,7 +172,7 @@
 
 func eventText(n int) string { return fmt.Sprintf("id: %d\ndata: token %d\n\n", n, n) }
 
-// recorder is a caller that notes what it gets.
+// recorder is a caller that records its answer.
 type recorder struct {
 	status int
 	body   string
@@ -195,7 +196,7 @@
 	return nil
 }
 
-// newDispatcher returns a dispatcher over a fleet.
+// newDispatcher returns a dispatcher and its table of the fleet's replicas.
 func newDispatcher(f *fleet) (*Dispatcher, *replica.Table) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -219,9 +220,9 @@
 	}
 }
 
-// TestNoFailureBreaksAPromise draws what replicas do and checks what must hold
-// of every request.
-func TestNoFailureBreaksAPromise(t *testing.T) {
+// TestFailureInvariants draws the replicas' behaviours and checks what must hold for every
+// request.
+func TestFailureInvariants(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		kind := rapid.SampledFrom([]config.Kind{config.Idempotent, config.NonIdempotent, config.Streaming}).Draw(rt, "kind")
 		resumable := kind == config.Streaming && rapid.Bool().Draw(rt, "resumable")
@@ -238,7 +239,7 @@
 			_, err := d.Run(ctx, req, out)
 			cancel()
 			synctest.Wait()
-			wrong = broken(f, req, out, err)
+			wrong = violation(f, req, out, err)
 		})
 		if wrong != "" {
 			rt.Fatal(wrong)
@@ -246,8 +247,8 @@
 	})
 }
 
-// broken returns which promise an outcome breaks, or "".
-func broken(f *fleet, req *Request, out *recorder, err error) string {
+// violation describes the invariant that an outcome violates, "" if there is none.
+func violation(f *fleet, req *Request, out *recorder, err error) string {
 	switch {
 	case time.Now().After(req.Deadline.Add(time.Millisecond)):
 		return fmt.Sprintf("answered %v after the deadline", time.Since(req.Deadline))
@@ -256,7 +257,7 @@
 	case len(f.ranAt) > req.Route.Attempts:
 		return fmt.Sprintf("ran on %d replicas of %d", len(f.ranAt), req.Route.Attempts)
 	case err != nil:
-		return brokenError(f, out, err)
+		return violationOnError(f, out, err)
 	case out.wrote != 1:
 		return fmt.Sprintf("%d answers", out.wrote)
 	case out.status != http.StatusOK && out.status != http.StatusInternalServerError:
@@ -268,7 +269,7 @@
 	}
 }
 
-func brokenError(f *fleet, out *recorder, err error) string {
+func violationOnError(f *fleet, out *recorder, err error) string {
 	if errkind.From(err).Kind.Answer().Run == errkind.NotRun && f.runs > 0 {
 		return fmt.Sprintf("%v, but it ran", err)
 	}
@@ -286,8 +287,8 @@
 	return whole
 }
 
-// play plays a plan for one request.
-func play(t *testing.T, req func() *Request, plan ...behaviour) (*fleet, *recorder, Report, error) {
+// runPlan dispatches one request to a fleet with that plan.
+func runPlan(t *testing.T, req func() *Request, plan ...behaviour) (*fleet, *recorder, Report, error) {
 	t.Helper()
 	f := &fleet{plan: plan, ranAt: map[string]bool{}}
 	out := &recorder{}
@@ -309,43 +310,43 @@
 func idempotent() *Request    { return testRequest(config.Idempotent, false, 2) }
 func nonIdempotent() *Request { return testRequest(config.NonIdempotent, false, 1) }
 
-func TestCutStreamGoesOnElsewhere(t *testing.T) {
-	_, out, report, err := play(t, resumable, cutsStream, streams)
+func TestBrokenStreamIsResumedElsewhere(t *testing.T) {
+	_, out, report, err := runPlan(t, resumable, cutsStream, streams)
 	if err != nil || strings.Count(out.body, "id: ") != testEvents || report.Resumed != 1 {
 		t.Errorf("%v, %q, %+v", err, out.body, report)
 	}
 }
 
-func TestHangingReplicaIsGivenUpForAnother(t *testing.T) {
-	_, out, report, err := play(t, idempotent, hangs, answers)
+func TestUnresponsiveReplicaIsReplaced(t *testing.T) {
+	_, out, report, err := runPlan(t, idempotent, hangs, answers)
 	if err != nil || out.body != wholeBody || report.First > time.Second {
 		t.Errorf("%v, %q, first after %v", err, out.body, report.First)
 	}
 }
 
-func TestNothingElseIsTriedForWhatMayHaveRun(t *testing.T) {
+func TestNonIdempotentRequestIsNotRetriedOnceSent(t *testing.T) {
 	for _, b := range []behaviour{cutsBefore, unsealed, foreign, cutsBody} {
-		f, _, report, err := play(t, nonIdempotent, b, answers)
+		f, _, report, err := runPlan(t, nonIdempotent, b, answers)
 		if !errkind.Is(err, errkind.BackendLost) || f.runs != 1 || report.Sends != 1 {
 			t.Errorf("%s: %v, ran %d, sent %d", b, err, f.runs, report.Sends)
 		}
 	}
 }
 
-func TestRefusedIsSentOn(t *testing.T) {
-	f, out, _, err := play(t, nonIdempotent, refuses, misdirects, unreachable, answers)
+func TestRefusedRequestIsRetriedElsewhere(t *testing.T) {
+	f, out, _, err := runPlan(t, nonIdempotent, refuses, misdirects, unreachable, answers)
 	if err != nil || out.body != wholeBody || f.runs != 1 {
 		t.Errorf("%v, %q, ran %d", err, out.body, f.runs)
 	}
 }
 
-// TestUnexpectedWeightsAreNotGuessed: a replica refuses the weights that it was
-// believed to hold while newer ones are wanted, as after an order that was carried
-// out late. Those wanted may have overtaken it; taken for them, it would refuse all
-// that it is sent from then on.
-func TestUnexpectedWeightsAreNotGuessed(t *testing.T) {
+// TestRefusedWeightsAreMarkedUnsure: a replica refuses the weights that it was assumed to hold
+// while newer ones are requested, for example because a load command was carried out late. It
+// must not be assumed to hold the newest weights either: several versions may have been
+// requested since, and on a wrong guess it would refuse all further requests.
+func TestRefusedWeightsAreMarkedUnsure(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := &fleet{plan: []behaviour{reweighted}, ranAt: map[string]bool{}}
+		f := &fleet{plan: []behaviour{otherWeights}, ranAt: map[string]bool{}}
 		d, table := newDispatcher(f)
 		for i := range testReplicas {
 			table.Register(platform.Registration{ID: fmt.Sprintf("i-%d", i), Service: testService, Address: fmt.Sprintf("i-%d", i), Slots: 8, Weights: map[string]int64{"m": 1}}, int64(i))
@@ -364,24 +365,24 @@
 		}
 		for _, r := range table.Snapshot(testService, "m", 0, time.Now()) {
 			if r.Weights != 1 || r.Loading != (r.ID == unsure[0].ID) {
-				t.Errorf("%s is believed to hold %d, loading %v", r.ID, r.Weights, r.Loading)
+				t.Errorf("%s is assumed to hold weights %d, loading %v", r.ID, r.Weights, r.Loading)
 			}
 		}
 	})
 }
 
-func TestReplicasOwnFailureIsPassedOn(t *testing.T) {
-	_, out, _, err := play(t, idempotent, fails, fails)
+func TestReplicaErrorIsForwarded(t *testing.T) {
+	_, out, _, err := runPlan(t, idempotent, fails, fails)
 	if err != nil || out.status != http.StatusInternalServerError {
 		t.Errorf("%v, status %d", err, out.status)
 	}
-	_, out, _, err = play(t, idempotent, fails, answers)
+	_, out, _, err = runPlan(t, idempotent, fails, answers)
 	if err != nil || out.status != http.StatusOK {
-		t.Errorf("sent on once more: %v, status %d", err, out.status)
+		t.Errorf("after a retry: %v, status %d", err, out.status)
 	}
 }
 
-func TestGivenUpIsAnsweredAtOnce(t *testing.T) {
+func TestExhaustedRetriesFailImmediately(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fleet{plan: []behaviour{refuses, refuses, refuses, refuses, refuses}, ranAt: map[string]bool{}}
 		d, _ := newDispatcher(f)
@@ -419,13 +420,13 @@
 			ev, err := er.next()
 			if err != nil {
 				if errors.Is(err, io.EOF) && strings.TrimSpace(string(data[total:])) != "" {
-					t.Errorf("a clean end with %q left", data[total:])
+					t.Errorf("io.EOF with %q left", data[total:])
 				}
 				return
 			}
 			total += len(ev.data)
 			if !strings.HasSuffix(string(ev.data), "\n") {
-				t.Errorf("half an event: %q", ev.data)
+				t.Errorf("incomplete event: %q", ev.data)
 			}
 		}
 	})
--- a/internal/dispatch/events.go
+++ b/internal/dispatch/events.go
@@ -9,29 +9,29 @@
 	"github.com/pkg/errors"
 )
 
-// maxEvent bounds one event of a stream.
+// maxEvent limits the size of one event of a stream, in bytes.
 const maxEvent = 1 << 20
 
 var (
-	errEventTooLarge = errors.New("an event is too large")
-	errEventCut      = errors.New("the stream ended within an event")
-	errEventNumber   = errors.New("an event without a number, or out of order")
+	errEventTooLarge  = errors.New("event exceeds the size limit")
+	errEventTruncated = errors.New("stream ended within an event")
+	errEventOrder     = errors.New("event without an ID or out of order")
 )
 
-// event is one event of a stream, as its bytes.
+// event is one server-sent event of a stream.
 type event struct {
+	// data is the whole event as received.
 	data []byte
-	// number is the event's ID; 0 without one.
+	// number is the event's ID, 0 without one.
 	number int64
 }
 
-// eventReader reads whole events.
+// eventReader splits a stream into events.
 type eventReader struct{ r *bufio.Reader }
 
 func newEventReader(body io.Reader) *eventReader { return &eventReader{bufio.NewReader(body)} }
 
-// next returns the next whole event, or io.EOF where the stream ends cleanly
-// between two events.
+// next returns the next complete event, or io.EOF if the stream ends between two events.
 func (er *eventReader) next() (event, error) {
 	var ev event
 	for {
@@ -46,19 +46,19 @@
 		case errors.Is(err, io.EOF) && len(ev.data) == 0:
 			return ev, io.EOF
 		case errors.Is(err, io.EOF):
-			return ev, errEventCut
+			return ev, errEventTruncated
 		case err != nil:
 			return ev, errors.Wrap(err, "read an event")
 		}
 		if len(bytes.TrimRight(line, "\r\n")) == 0 && len(bytes.TrimSpace(ev.data)) > 0 {
-			ev.number = numberOf(ev.data)
+			ev.number = eventNumber(ev.data)
 			return ev, nil
 		}
 	}
 }
 
-// numberOf returns the number in an event's id field, or 0.
-func numberOf(data []byte) int64 {
+// eventNumber returns the value of an event's id field, 0 without a valid one.
+func eventNumber(data []byte) int64 {
 	for _, line := range bytes.Split(data, []byte("\n")) {
 		field, value, _ := bytes.Cut(line, []byte(":"))
 		if string(field) != "id" {
--- a/internal/dispatch/poison_test.go
+++ b/internal/dispatch/poison_test.go
@@ -10,27 +10,27 @@
 	"github.com/briarlink/briarlink/internal/quarantine"
 )
 
-// crashUnder records crashes of so many servers under a request.
-func crashUnder(d *Dispatcher, req *Request, first, servers int) {
+// recordCrashes records that servers, numbered from first, crashed while running the request.
+func recordCrashes(d *Dispatcher, req *Request, first, servers int) {
 	for i := range servers {
 		d.crashes.Crashed(quarantine.Server(first+i), []quarantine.Digest{req.digest()}, time.Now())
 	}
 }
 
-// TestPoisonRequestIsSentToNobody: once three servers crashed under a request, whichever
-// hosts saw it, other attempts at it are denied at once, and other requests are served.
-func TestPoisonRequestIsSentToNobody(t *testing.T) {
+// TestPoisonRequestIsDenied: once three servers crashed while running a request, further
+// attempts at it are denied at once, and other requests are served.
+func TestPoisonRequestIsDenied(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fleet{ranAt: map[string]bool{}}
 		d, _ := newDispatcher(f)
 		req := resumable()
-		crashUnder(d, req, 1, 2)
+		recordCrashes(d, req, 1, 2)
 		if _, err := d.Run(context.Background(), req, &recorder{}); err != nil || f.runs != 1 {
 			t.Errorf("after two crashes: %v, ran %d times", err, f.runs)
 		}
-		// That answer cleared it.
+		// The answer has cleared the two crashes.
 		time.Sleep(time.Second)
-		crashUnder(d, req, 10, 3)
+		recordCrashes(d, req, 10, 3)
 		again := resumable()
 		again.ID = "r-2"
 		report, err := d.Run(context.Background(), again, &recorder{})
@@ -45,17 +45,18 @@
 	})
 }
 
-// TestPoisonRequestIsNotSentOn: the third crash is seen while the host has the request under
-// way, and then its stream is cut. The caller is told that the request may have run, which is true, and no other server gets it.
-func TestPoisonRequestIsNotSentOn(t *testing.T) {
+// TestPoisonRequestIsNotRetried: the third crash is reported while the request is running on
+// this host, and then its stream breaks. The request must not be sent to another server, and
+// the error must say that it may have run.
+func TestPoisonRequestIsNotRetried(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fleet{plan: []behaviour{cutsStream}, ranAt: map[string]bool{}}
 		d, _ := newDispatcher(f)
 		req := resumable()
-		crashUnder(d, req, 1, 2)
+		recordCrashes(d, req, 1, 2)
 		req.Route.Attempts = 3
-		// Another host sees the third crash while this one passes the first event on.
-		out := &crashOnEvent{recorder: &recorder{}, crash: func() { crashUnder(d, req, 10, 1) }}
+		// Another host reports the third crash while this one forwards the first event.
+		out := &crashOnEvent{recorder: &recorder{}, crash: func() { recordCrashes(d, req, 10, 1) }}
 		_, err := d.Run(context.Background(), req, out)
 		if !errkind.Is(err, errkind.BackendLost) || f.runs != 1 {
 			t.Errorf("%v, ran %d times", err, f.runs)
@@ -63,7 +64,7 @@
 	})
 }
 
-// crashOnEvent is a caller at whose first event a host learns of a crash.
+// crashOnEvent is a caller that triggers a crash report when it receives the first event.
 type crashOnEvent struct {
 	*recorder
 	crash func()
@@ -78,9 +79,10 @@
 	return c.recorder.Event(data)
 }
 
-// TestAttemptsUnderWayEndWithTheRefusal: copies of a request that wait at other servers when
-// it is refused are ended, and nothing else is; one whose answer has begun goes on.
-func TestAttemptsUnderWayEndWithTheRefusal(t *testing.T) {
+// TestQuarantineCancelsWaitingAttempts: when a request is quarantined, attempts at it that
+// wait at other servers are cancelled. Attempts at other requests, and those whose answer has
+// started, go on.
+func TestQuarantineCancelsWaitingAttempts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fleet{plan: []behaviour{hangs, hangs}, ranAt: map[string]bool{}}
 		d, _ := newDispatcher(f)
@@ -101,23 +103,23 @@
 			}()
 			return out
 		}
-		waiting, beside := run(nonIdempotent()), run(other)
+		waiting, concurrent := run(nonIdempotent()), run(other)
 		time.Sleep(100 * time.Millisecond)
-		crashUnder(d, nonIdempotent(), 1, 3)
+		recordCrashes(d, nonIdempotent(), 1, 3)
 		if got := <-waiting; !errkind.Is(got.err, errkind.BackendLost) || got.after > 101*time.Millisecond {
-			t.Errorf("the attempt under way ended with %v after %v", got.err, got.after)
+			t.Errorf("the waiting attempt ended with %v after %v", got.err, got.after)
 		}
-		if got := <-beside; !errkind.Is(got.err, errkind.DeadlineExceeded) {
-			t.Errorf("the other one ended with %v after %v", got.err, got.after)
+		if got := <-concurrent; !errkind.Is(got.err, errkind.DeadlineExceeded) {
+			t.Errorf("the other request ended with %v after %v", got.err, got.after)
 		}
 	})
 	synctest.Test(t, func(t *testing.T) {
 		f := &fleet{plan: []behaviour{streams}, ranAt: map[string]bool{}}
 		d, _ := newDispatcher(f)
 		req := resumable()
-		out := &crashOnEvent{recorder: &recorder{}, crash: func() { crashUnder(d, req, 1, 3) }}
+		out := &crashOnEvent{recorder: &recorder{}, crash: func() { recordCrashes(d, req, 1, 3) }}
 		if _, err := d.Run(context.Background(), req, out); err != nil {
-			t.Errorf("an answer that had begun was ended: %v", err)
+			t.Errorf("an answer that had started was cancelled: %v", err)
 		}
 	})
 }
--- a/internal/dispatch/silence.go
+++ b/internal/dispatch/silence.go
@@ -9,40 +9,43 @@
 )
 
 const (
-	// watchInterval is how often a hanging replica is looked for.
+	// watchInterval is the interval at which a replica is checked for a hang.
 	watchInterval = 100 * time.Millisecond
-	// leastSilence is the shortest silence at which a replica is given up for
-	// another one.
-	leastSilence = 500 * time.Millisecond
-	// silentTargets is that silence in latency targets.
-	silentTargets = 1.0
-	// stalledPauses is the pause, in pause targets, after which a stream is
-	// continued elsewhere. Callers give up after eight.
-	stalledPauses = 4
+	// minHangTimeout is the shortest time without a liveness signal after which a replica is
+	// abandoned for another one.
+	minHangTimeout = 500 * time.Millisecond
+	// hangTimeoutTargets is this time in multiples of the route's latency target.
+	hangTimeoutTargets = 1.0
+	// stallPauseTargets is the pause between two events, in multiples of the route's pause
+	// target, after which a stream is resumed at another replica. Callers give up after eight.
+	stallPauseTargets = 4
 )
 
-var errSilent = errors.New("the replica gives no sign of life")
+// errUnresponsive is the cause with which attempts at an unresponsive replica, or with a
+// stalled stream, are cancelled.
+var errUnresponsive = errors.New("no liveness signal from the replica")
 
-// watchSilence ends the attempt when the replica hangs and another may be tried.
-func (x *exchange) watchSilence() {
+// watchHang cancels the attempt if the replica is unresponsive, or its answer is assumed
+// lost, and another replica may be tried.
+func (x *exchange) watchHang() {
 	route := x.req.Route
 	if !route.Repeatable() || x.report.Ran+1 >= route.Attempts {
 		return
 	}
-	limit := max(leastSilence, time.Duration(silentTargets*float64(route.LatencyTarget)))
+	limit := max(minHangTimeout, time.Duration(hangTimeoutTargets*float64(route.LatencyTarget)))
 	check := func() {
 		if x.choice.Flight.Silence(clock.Now()) > limit || x.choice.Flight.Lost() {
-			x.cancel(errSilent)
+			x.cancel(errUnresponsive)
 			return
 		}
-		x.watch.Reset(watchInterval)
+		x.hangTimer.Reset(watchInterval)
 	}
-	x.watch = time.AfterFunc(time.Hour, check)
-	x.watch.Reset(watchInterval)
+	x.hangTimer = time.AfterFunc(time.Hour, check)
+	x.hangTimer.Reset(watchInterval)
 }
 
-// stallWatch ends an attempt whose stream stalls while it may be continued
-// elsewhere.
+// stallWatch cancels an attempt whose stream stalls. Its timer is nil if the stream cannot be
+// resumed at another replica.
 type stallWatch struct {
 	timer *time.Timer
 	limit time.Duration
@@ -53,13 +56,13 @@
 	if !route.Resumable || x.report.Ran >= route.Attempts || route.PauseTarget <= 0 {
 		return &stallWatch{}
 	}
-	limit := max(2*leastSilence, stalledPauses*route.PauseTarget)
-	// Until the first event the replica's silence is watched instead.
-	timer := time.AfterFunc(time.Hour, func() { x.cancel(errSilent) })
+	limit := max(2*minHangTimeout, stallPauseTargets*route.PauseTarget)
+	// The timer is armed by the first event; until then watchHang covers the attempt.
+	timer := time.AfterFunc(time.Hour, func() { x.cancel(errUnresponsive) })
 	return &stallWatch{timer, limit}
 }
 
-func (w *stallWatch) feed() {
+func (w *stallWatch) reset() {
 	if w.timer != nil {
 		w.timer.Reset(w.limit)
 	}
