--- a/internal/route/policy.go
+++ b/internal/route/policy.go
@@ -6,74 +6,80 @@
 	"github.com/briarlink/briarlink/internal/mechanism"
 )
 
-// Policy holds the weights of the decision.
+// Policy holds the parameters of the latency estimate and of the scoring. Prices are given in
+// milliseconds, or in multiples of the request's latency target.
 type Policy struct {
-	// PrefillPerMs is how many prompt tokens an engine reads in a millisecond.
-	PrefillPerMs float64
-	// PairsPerMs is how many pairs of prompt tokens attention covers in a
-	// millisecond: long prompts take more than their share.
-	PairsPerMs float64
-	// Reread is the price of reading shared tokens, in latency targets for a prompt
-	// that is all shared: some cache keeps them, or will after the first reading.
-	Reread float64
-	// OtherZone is the price in milliseconds of leaving the availability zone.
-	OtherZone float64
-	// OldWeights is the price of an answer on older weights, in latency targets: a
-	// fifth of its worth against the two thirds that a late one loses, and as much
-	// again for a long run, whose replica changes weights under it. With the price
-	// at 0.15 a third more of all work was done on weights that had been replaced.
-	OldWeights float64
-	// OldWeightsAfter is how long older weights cost nothing.
-	OldWeightsAfter time.Duration
-	// WeightsDeadline is when older weights may no longer begin a request.
+	// PrefillTokensPerMs is how many prompt tokens an engine prefills in a millisecond.
+	PrefillTokensPerMs float64
+	// AttentionPairsPerMs is how many pairs of prompt tokens attention covers in a
+	// millisecond. With it the estimate grows quadratically for long prompts.
+	AttentionPairsPerMs float64
+	// RecomputePrice is the price of recomputing shared prompt tokens, in latency targets for
+	// a prompt that is all shared. Some replica has them in its KV cache, or will have them
+	// after the first prefill.
+	RecomputePrice float64
+	// CrossZonePrice is the price of leaving the availability zone, in milliseconds.
+	CrossZonePrice float64
+	// OutdatedWeightsPrice is the price of an answer from outdated weights, in latency
+	// targets. Such an answer loses a fifth of its value, where a late one loses two thirds;
+	// a long run loses another fifth, as its replica changes weights during the run. With a
+	// price of 0.15, a third more of all work was done on weights that had been replaced.
+	OutdatedWeightsPrice float64
+	// OutdatedWeightsGrace is how long after newer weights were requested the outdated ones
+	// have no price.
+	OutdatedWeightsGrace time.Duration
+	// WeightsDeadline is how long after newer weights were requested a request may still
+	// begin on outdated ones.
 	WeightsDeadline time.Duration
-	// Lost is the price of a certain failure, in latency targets, of a request that may
-	// not be repeated: its whole worth against the two thirds of it that a late answer
-	// loses. Again is that of one that may: a loss is noticed after about a target,
-	// and mostly made good.
-	Lost  float64
-	Again float64
-	// MemoryTurn is how long a loaded replica takes to free its whole memory: about
+	// NonRepeatableFailurePrice is the price of a certain failure of a request that must not
+	// be retried, in latency targets. It loses its whole value, where a late answer loses two
+	// thirds.
+	NonRepeatableFailurePrice float64
+	// RepeatableFailurePrice is the same for a request that may be retried. The loss is
+	// detected after about one latency target, and the retry mostly succeeds.
+	RepeatableFailurePrice float64
+	// MemoryTurnover is how long a loaded replica takes to free its whole memory: about
 	// the time of a large request from its first to its last event.
-	MemoryTurn time.Duration
-	// Tolerance is the part of the latency target within which affinity decides. Where
-	// many hosts route and know each other's sends late, it keeps a prefix together.
-	Tolerance float64
+	MemoryTurnover time.Duration
+	// AffinityTolerance is the score difference, in latency targets, within which affinity
+	// decides. It keeps requests with the same prefix at one replica where many hosts route
+	// and receive each other's reports of sent requests late.
+	AffinityTolerance float64
 }
 
-// DefaultPolicy returns the weights that are in use.
+// DefaultPolicy returns the default parameters.
 func DefaultPolicy() Policy {
 	return Policy{
-		PrefillPerMs:    50,
-		PairsPerMs:      2.7e6,
-		Reread:          1,
-		OtherZone:       3,
-		OldWeights:      0.4,
-		OldWeightsAfter: 1200 * time.Millisecond,
-		WeightsDeadline: 8 * time.Second,
-		Lost:            1.4,
-		Again:           0.4,
-		MemoryTurn:      4 * time.Second,
-		Tolerance:       0.04,
+		PrefillTokensPerMs:        50,
+		AttentionPairsPerMs:       2.7e6,
+		RecomputePrice:            1,
+		CrossZonePrice:            3,
+		OutdatedWeightsPrice:      0.4,
+		OutdatedWeightsGrace:      1200 * time.Millisecond,
+		WeightsDeadline:           8 * time.Second,
+		NonRepeatableFailurePrice: 1.4,
+		RepeatableFailurePrice:    0.4,
+		MemoryTurnover:            4 * time.Second,
+		AffinityTolerance:         0.04,
 	}
 }
 
-// Without returns the policy without the mechanisms that are switched off.
+// Without returns the policy with the parameters of disabled mechanisms set to zero.
 func (p Policy) Without(off mechanism.Off) Policy {
 	if off[mechanism.Affinity] {
-		p.Tolerance = 0
+		p.AffinityTolerance = 0
 	}
 	if off[mechanism.RereadPrice] {
-		p.Reread = 0
+		p.RecomputePrice = 0
 	}
 	if off[mechanism.OldWeightsPrice] {
-		p.OldWeights = 0
+		p.OutdatedWeightsPrice = 0
 	}
 	if off[mechanism.FailurePrice] {
-		p.Lost, p.Again = 0, 0
+		p.NonRepeatableFailurePrice, p.RepeatableFailurePrice = 0, 0
 	}
 	if off[mechanism.MemoryWait] {
-		p.MemoryTurn = 0
+		p.MemoryTurnover = 0
 	}
 	return p
 }
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -1,7 +1,7 @@
-// Package route decides which replica a request is sent to. The decision is a
-// pure function of the request and of candidates described at one moment: filters
-// drop what must not be used, scorers price the rest in milliseconds, and the
-// cheapest is picked.
+// Package route decides which replica a request is sent to. The decision is a pure function
+// of the request and of a snapshot of the candidates: filters drop candidates that must not be
+// used, a score in milliseconds is computed for the others (the expected latency plus the
+// prices of the Policy), and the candidate with the lowest score is picked.
 package route
 
 import (
@@ -15,109 +15,110 @@
 	"github.com/briarlink/briarlink/internal/errkind"
 )
 
-// Replica is what is known of a replica when a request is routed.
+// Replica is the state of a replica when a request is routed.
 type Replica struct {
 	ID               string
 	Address          string
 	AvailabilityZone string
 	// Software is the version of the replica's software.
 	Software string
-	// Usable replicas are registered, not leaving and can be reached as far as is
-	// known. Doubted ones of them give no sign of life, or are avoided at another
-	// host's word.
-	Usable  bool
+	// Usable is set if the replica is registered, not leaving and not known to be unreachable.
+	Usable bool
+	// Doubted is set if the replica is suspected to be down: it gives no liveness signal, or
+	// it was marked down, possibly on another host's report.
 	Doubted bool
-	// Trial replicas failed a moment ago and are tried with one request.
+	// Trial is set if the replica failed recently and is probed with a single request.
 	Trial bool
-	// Loading replicas refuse requests until their weights are loaded.
+	// Loading is set while the replica loads weights and refuses requests.
 	Loading bool
-	// Backoff is for how long the replica wants no requests from this host.
+	// Backoff is how long the replica still asks this host to send it no requests.
 	Backoff time.Duration
-	// Weights is the version of the request's model, 0 without one. Behind is how
-	// long a newer one has been wanted, 0 without one.
+	// Weights is the version of the weights of the request's model, 0 without one. Behind is
+	// how long ago a newer version was requested, 0 if there is none.
 	Weights int64
 	Behind  time.Duration
-	// Requests of all hosts are not finished; Slots run at once.
+	// Requests is the number of unfinished requests of all hosts; Slots is how many of them
+	// run concurrently.
 	Requests int
 	Slots    int
-	// PrefillTokens of all hosts' requests are still to be read.
+	// PrefillTokens is the pending prefill of all hosts' requests.
 	PrefillTokens int
-	// MemoryTokens are needed by requests that are not finished; CacheTokens is
-	// the whole memory, 0 for plain services.
+	// MemoryTokens is the memory that unfinished requests need; CacheTokens is the whole
+	// memory, 0 for plain services.
 	MemoryTokens int
 	CacheTokens  int
-	// Pace is how long the replica takes for its own work, as a multiple of what the policy
-	// expects of any; Slow is what its answers take beyond that, lately. 1 is normal, 0 not known.
+	// Pace is the ratio of the replica's measured to its expected service time. Slow is the
+	// ratio by which its recent answers took longer than that. 1 is normal, 0 is unknown.
 	Pace float64
 	Slow float64
-	// Errors is the share of requests that failed or were lost, lately, at all hosts.
+	// Errors is the recent share of requests, from all hosts, that failed or were lost.
 	Errors float64
-	// Silence is how long the oldest request has waited without any answer of
-	// the replica since.
+	// Silence is how long the most overdue request has waited since its expected time, or
+	// since the replica's last liveness signal if that was later.
 	Silence time.Duration
 }
 
-// Candidate is a replica with what it would mean for one request.
+// Candidate is a replica together with the data that depend on the request.
 type Candidate struct {
 	Replica
-	// Cached tokens of the prompt are held by the replica itself; Reading of them it
-	// is just reading for another request.
+	// Cached is the number of prompt tokens in the replica's own KV cache. It includes
+	// Reading, the tokens that the replica is prefilling for another request.
 	Cached  int
 	Reading int
-	// Fetched tokens beyond these would come from Source within FetchTime, of which
-	// Transfer is spent on the links.
+	// Fetched is the number of further prompt tokens that the replica would fetch from
+	// Source. The fetch takes FetchTime, of which Transfer is spent on network links.
 	Fetched   int
 	Source    string
 	FetchTime time.Duration
 	Transfer  time.Duration
 }
 
-// Request is what the decision must know of a request.
+// Request holds the properties of a request that the decision depends on.
 type Request struct {
 	AvailabilityZone string
-	// PromptTokens and OutputTokens size the request; 0 for plain services.
+	// PromptTokens and OutputTokens are the size of the request, 0 for plain services.
 	PromptTokens int
 	OutputTokens int
-	// SharedTokens of the prompt are worth keeping in some cache.
+	// SharedTokens is the number of prompt tokens that other requests may share.
 	SharedTokens  int
 	LatencyTarget time.Duration
-	// Repeatable requests may run again at another replica.
+	// Repeatable is set if the request may be retried at another replica.
 	Repeatable bool
-	// Exclude holds replicas that were tried.
+	// Exclude holds the IDs of replicas that were already tried.
 	Exclude map[string]bool
-	// Affinity is equal for requests with the same leading part.
+	// Affinity is equal for requests with the same prefix.
 	Affinity uint64
 }
 
-// Decision is the chosen candidate and what is expected of it.
+// Decision is the chosen candidate with the latency estimate.
 type Decision struct {
 	Candidate
 	// Expected is the time to the first event, or to a plain service's answer.
 	Expected time.Duration
-	// Waiting is the part of it that is spent behind other requests, and Own what a replica
-	// of pace 1 would need for the request alone.
+	// Waiting is the part of Expected that the request is queued behind others. Own is the
+	// service time of the request itself at a replica with a slowdown of 1.
 	Waiting time.Duration
 	Own     time.Duration
 	// Considered is the number of candidates that passed the filters.
 	Considered int
-	// Score is the chosen candidate's price in milliseconds.
+	// Score is the score of the chosen candidate in milliseconds; the lowest one wins.
 	Score float64
 }
 
-// Decide picks a candidate, or fails with an error that says when to come back.
-// Doubted replicas are the last resort: doubts may be wrong, and where all of a
-// service's replicas are doubted, refusing would make it as if they were right.
+// Decide picks a candidate, or fails with an error that carries a Retry-After. Suspected
+// replicas are the last resort, considered only if no other is usable: the suspicion may be
+// wrong, and if all replicas of a service are suspected, rejecting its requests would have the
+// same effect as if all were down.
 func (p Policy) Decide(req *Request, candidates []Candidate) (Decision, error) {
-	if best := p.cheapest(req, candidates, allDoubted(candidates)); best.ID != "" {
+	if best := p.cheapest(req, candidates, allSuspected(candidates)); best.ID != "" {
 		return best, nil
 	}
-	return Decision{}, errkind.New(errkind.NoBackend, p.whyNone(req, candidates)).After(comeBack(candidates))
+	return Decision{}, errkind.New(errkind.NoBackend, p.rejectReason(req, candidates)).After(retryDelay(candidates))
 }
 
-// comeBack returns when a caller whose request no candidate can take had better be back:
-// after a short while, or once the first backoff is over where all
-// others are gone.
-func comeBack(candidates []Candidate) time.Duration {
+// retryDelay returns the Retry-After of a request that no candidate can take: retryAfter, or
+// the shortest remaining backoff if every usable candidate has asked for one.
+func retryDelay(candidates []Candidate) time.Duration {
 	first := time.Duration(0)
 	for i := range candidates {
 		c := &candidates[i]
@@ -132,8 +133,9 @@
 	return max(retryAfter, first)
 }
 
-// allDoubted reports whether no candidate is usable without a doubt.
-func allDoubted(candidates []Candidate) bool {
+// allSuspected reports whether there is no candidate that is usable, not suspected and not
+// backing off.
+func allSuspected(candidates []Candidate) bool {
 	for i := range candidates {
 		if candidates[i].Usable && !candidates[i].Doubted && candidates[i].Backoff == 0 {
 			return false
@@ -142,22 +144,23 @@
 	return true
 }
 
-// cheapest picks among the candidates that are doubted, or among the others.
-func (p Policy) cheapest(req *Request, candidates []Candidate, doubted bool) Decision {
+// cheapest picks the candidate with the lowest score among the suspected ones, or among the
+// others.
+func (p Policy) cheapest(req *Request, candidates []Candidate, suspected bool) Decision {
 	best := Decision{}
 	bestRank := uint64(0)
 	for i := range candidates {
 		c := &candidates[i]
-		if c.Doubted != doubted || p.unfit(req, c) != "" {
+		if c.Doubted != suspected || p.filterReason(req, c) != "" {
 			continue
 		}
 		best.Considered++
 		expected := p.expected(req, c)
 		score := p.score(req, c, expected)
-		rank := affinity(req.Affinity, c.ID)
+		rank := affinityRank(req.Affinity, c.ID)
 		if best.ID == "" || p.better(req, score, rank, best.Score, bestRank) {
 			best = Decision{
-				Candidate: *c, Expected: duration(expected), Waiting: duration(p.waiting(req, c)), Own: duration(p.own(req, c)),
+				Candidate: *c, Expected: duration(expected), Waiting: duration(p.waiting(req, c)), Own: duration(p.serviceTime(req, c)),
 				Considered: best.Considered, Score: score,
 			}
 			bestRank = rank
@@ -166,31 +169,31 @@
 	return best
 }
 
-// better compares two candidates: by score, and by affinity where the scores
-// are close.
+// better reports whether a candidate is preferred to the best one so far: by score, or by
+// affinity rank if the scores are within the tolerance.
 func (p Policy) better(req *Request, score float64, rank uint64, bestScore float64, bestRank uint64) bool {
-	tolerance := p.Tolerance * millis(req.LatencyTarget)
+	tolerance := p.AffinityTolerance * millis(req.LatencyTarget)
 	if score < bestScore-tolerance {
 		return true
 	}
 	return score <= bestScore+tolerance && rank > bestRank
 }
 
-// affinity ranks replicas for a leading part by rendezvous hashing.
-func affinity(part uint64, id string) uint64 { return xxh3.HashStringSeed(id, part) }
+// affinityRank ranks replicas for a prefix by rendezvous hashing.
+func affinityRank(prefix uint64, id string) uint64 { return xxh3.HashStringSeed(id, prefix) }
 
 func duration(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
 func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// Reading returns how long an engine takes to read tokens.
+// Reading returns the prefill time of that many tokens at an engine without slowdown.
 func (p Policy) Reading(tokens int) time.Duration {
 	n := float64(tokens)
-	return time.Duration((n/p.PrefillPerMs + n*n/2/p.PairsPerMs) * float64(time.Millisecond))
+	return time.Duration((n/p.PrefillTokensPerMs + n*n/2/p.AttentionPairsPerMs) * float64(time.Millisecond))
 }
 
-// unfit applies the filters: it returns why a candidate may not be used, or "".
-func (p Policy) unfit(req *Request, c *Candidate) string {
+// filterReason applies the filters. It returns why a candidate must not be used, or "".
+func (p Policy) filterReason(req *Request, c *Candidate) string {
 	switch {
 	case !c.Usable:
 		return "down or leaving"
@@ -209,11 +212,12 @@
 	}
 }
 
-// whyNone counts the candidates by the reason that ruled them out.
-func (p Policy) whyNone(req *Request, candidates []Candidate) string {
+// rejectReason states why no candidate can take the request: the number of candidates for each
+// reason.
+func (p Policy) rejectReason(req *Request, candidates []Candidate) string {
 	counts := map[string]int{}
 	for i := range candidates {
-		reason := p.unfit(req, &candidates[i])
+		reason := p.filterReason(req, &candidates[i])
 		if reason == "" {
 			reason = "silent"
 		}
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -20,10 +20,10 @@
 	return &Request{AvailabilityZone: "z", PromptTokens: 17_000, OutputTokens: 120, SharedTokens: 13_300, LatencyTarget: 800 * time.Millisecond}
 }
 
-// TestFilters: none of these is ever chosen.
+// TestFilters: a candidate with any of these properties is never chosen.
 func TestFilters(t *testing.T) {
 	policy := DefaultPolicy()
-	for name, spoil := range map[string]func(*Candidate){
+	for name, modify := range map[string]func(*Candidate){
 		"not usable":          func(c *Candidate) { c.Usable = false },
 		"loading weights":     func(c *Candidate) { c.Loading = true },
 		"beyond the deadline": func(c *Candidate) { c.Behind = policy.WeightsDeadline },
@@ -34,7 +34,7 @@
 		"tried before":        func(c *Candidate) { c.ID = "tried" },
 	} {
 		c := engine("a")
-		spoil(&c)
+		modify(&c)
 		req := longRequest()
 		req.Exclude = map[string]bool{"tried": true}
 		_, err := policy.Decide(req, []Candidate{c})
@@ -44,9 +44,10 @@
 	}
 }
 
-// TestDoubtedReplicasAreTheLastResort: however good they look, and however bad the
-// others; alone, the one that was heard of last is tried.
-func TestDoubtedReplicasAreTheLastResort(t *testing.T) {
+// TestSuspectedReplicasAreTheLastResort: a suspected replica is never preferred to one that is
+// not, whatever their scores. If all are suspected, the last one to give a liveness signal is
+// tried.
+func TestSuspectedReplicasAreTheLastResort(t *testing.T) {
 	policy := DefaultPolicy()
 	sound, silent, longSilent, gone := engine("sound"), engine("silent"), engine("long silent"), engine("gone")
 	sound.PrefillTokens, sound.Errors = 200_000, 0.9
@@ -59,7 +60,7 @@
 		"sound":  {longSilent, silent, sound, gone},
 		"silent": {longSilent, silent, gone},
 		"":       {gone},
-		// One that loads weights will be there in a moment.
+		// The replica that loads weights will be available shortly, so the suspected one is not tried.
 		"nobody yet": {silent, loading},
 	} {
 		d, _ := policy.Decide(longRequest(), candidates)
@@ -69,9 +70,9 @@
 	}
 }
 
-// TestPreferences: the first of each pair is chosen.
+// TestPreferences: of two candidates that differ in one property, the better one is chosen.
 func TestPreferences(t *testing.T) {
-	for name, spoil := range map[string]func(better, worse *Candidate){
+	for name, modify := range map[string]func(better, worse *Candidate){
 		"held prompt":             func(b, _ *Candidate) { b.Cached = 13_300 },
 		"fetched prompt":          func(b, _ *Candidate) { b.Fetched, b.FetchTime = 13_300, 40*time.Millisecond },
 		"held over fetched":       func(b, w *Candidate) { b.Cached, w.Fetched, w.FetchTime = 13_300, 13_300, 100*time.Millisecond },
@@ -87,7 +88,7 @@
 		"same zone, all the same": func(_, w *Candidate) { w.AvailabilityZone = "y"; w.PrefillTokens = 2_000 },
 	} {
 		better, worse := engine("a"), engine("b")
-		spoil(&better, &worse)
+		modify(&better, &worse)
 		for _, order := range [][]Candidate{{better, worse}, {worse, better}} {
 			got, err := DefaultPolicy().Decide(longRequest(), order)
 			if err != nil || got.ID != "a" {
@@ -97,11 +98,11 @@
 	}
 }
 
-// TestRolloutFillsNewWeightsFirst: the load while weights are brought to a fleet, of
-// which a few replicas hold the new ones. These take requests up to a third of a
-// latency target of queue more than the others; beyond that the old ones serve, so
-// that the new ones are not overrun.
-func TestRolloutFillsNewWeightsFirst(t *testing.T) {
+// TestRolloutPrefersNewWeights covers a rollout in which only a few replicas hold the new
+// weights. They are preferred until their queue exceeds that of the others by about a third of
+// the latency target. Beyond that, replicas with outdated weights serve, so that the new ones are
+// not overloaded.
+func TestRolloutPrefersNewWeights(t *testing.T) {
 	policy := DefaultPolicy()
 	for queue, want := range map[int]string{0: "new", 10_000: "new", 14_000: "new", 22_000: "old"} {
 		fresh, old := engine("new"), engine("old")
@@ -113,18 +114,17 @@
 	}
 }
 
-// TestDecisionIsOrderFree: the same candidates in another order give a choice
-// that is as good within the tolerance, and equal candidates the same choice. Without
-// affinity it is the cheapest.
-func TestDecisionIsOrderFree(t *testing.T) {
+// TestDecisionIsIndependentOfCandidateOrder: without affinity, the same candidates in reverse
+// order lead to the same choice, the replica with the shortest queue.
+func TestDecisionIsIndependentOfCandidateOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 6).Draw(t, "replicas")
-		least := 1 << 30
+		shortest := 1 << 30
 		var forward, backward []Candidate
 		for i := range n {
 			c := engine(string(rune('a' + i)))
 			c.PrefillTokens = 500 * rapid.IntRange(0, 4).Draw(t, "queue")
-			least = min(least, c.PrefillTokens)
+			shortest = min(shortest, c.PrefillTokens)
 			forward = append(forward, c)
 			backward = append([]Candidate{c}, backward...)
 		}
@@ -136,14 +136,13 @@
 			t.Fatal(err)
 		}
 		b, err := policy.Decide(req, backward)
-		if err != nil || a.ID != b.ID || a.PrefillTokens != least {
-			t.Fatalf("chose %s with a queue of %d and %s, %v; the shortest is %d", a.ID, a.PrefillTokens, b.ID, err, least)
+		if err != nil || a.ID != b.ID || a.PrefillTokens != shortest {
+			t.Fatalf("chose %s with a queue of %d and %s, %v; the shortest is %d", a.ID, a.PrefillTokens, b.ID, err, shortest)
 		}
 	})
 }
 
-// TestMoreWorkNeverLowersTheExpectation.
-func TestMoreWorkNeverLowersTheExpectation(t *testing.T) {
+func TestMoreWorkNeverLowersExpectedLatency(t *testing.T) {
 	policy := DefaultPolicy()
 	rapid.Check(t, func(t *rapid.T) {
 		c := engine("a")
@@ -179,8 +178,8 @@
 	}
 }
 
-// TestAffinityKeepsAPrefixTogether: equal replicas give the same choice for the same
-// leading part in any order, whichever host decides.
+// TestAffinityKeepsAPrefixTogether: among equal replicas, requests with the same prefix go to
+// the same one in whatever order a host lists them.
 func TestAffinityKeepsAPrefixTogether(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var forward, backward []Candidate
@@ -202,10 +201,9 @@
 	})
 }
 
-// TestLongPromptsGoToFastEngines: two engines in three take 1.22 times as long as is
-// expected of any, the third kind 1.59 times: a prompt of 25,000 unread tokens is on time
-// against 0.8 s on the fast kind alone. A busy fast engine is left for an idle slow one once
-// its queue costs more than the difference.
+// TestLongPromptsGoToFastEngines: two of three engines have a slowdown of 1.22, the third one of
+// 1.59. A prompt with 25,000 tokens to prefill meets a target of 0.8 s on the fast kind only. An
+// idle slow engine is preferred to a busy fast one once the queue outweighs the difference.
 func TestLongPromptsGoToFastEngines(t *testing.T) {
 	policy := DefaultPolicy()
 	slow, fast := engine("slow"), engine("fast")
@@ -218,34 +216,34 @@
 			t.Errorf("behind %d tokens: chose %q, %v", prefill, d.ID, err)
 		}
 		if prefill == 0 && (d.Expected > 800*time.Millisecond || d.Expected < 700*time.Millisecond) {
-			t.Errorf("expected after %v", d.Expected)
+			t.Errorf("expected the first event after %v", d.Expected)
 		}
 	}
 }
 
-// TestCallersComeBackAfterTheBackoff: where every replica that may serve asked to back off,
-// callers are told the time until the first of them may be asked. While one is only busy
-// otherwise it is a short while; replicas that are gone play no part. One that is doubted and
-// not backed off from is still the last resort.
-func TestCallersComeBackAfterTheBackoff(t *testing.T) {
+// TestRetryAfterCoversBackoff: if every usable replica asked to back off, the Retry-After is the
+// shortest remaining backoff. If one of them is unavailable for another reason, it is the default.
+// Replicas that are not usable have no influence. A suspected replica that did not ask to back
+// off is still the last resort.
+func TestRetryAfterCoversBackoff(t *testing.T) {
 	policy := DefaultPolicy()
 	at := func(backoff time.Duration) Candidate {
 		c := engine(backoff.String())
 		c.Backoff = backoff
 		return c
 	}
-	loading, gone, doubted := engine("loading"), engine("gone"), engine("doubted")
-	loading.Loading, gone.Usable, doubted.Doubted = true, false, true
+	loading, gone, suspected := engine("loading"), engine("gone"), engine("doubted")
+	loading.Loading, gone.Usable, suspected.Doubted = true, false, true
 	for want, candidates := range map[time.Duration][]Candidate{
 		2 * time.Second: {at(4 * time.Second), at(2 * time.Second), gone},
 		retryAfter:      {at(4 * time.Second), loading},
 	} {
 		_, err := policy.Decide(longRequest(), candidates)
 		if got := errkind.From(err).Retry(); !errkind.Is(err, errkind.NoBackend) || got != want {
-			t.Errorf("%v, come back after %v, want %v", err, got, want)
+			t.Errorf("%v, Retry-After %v, want %v", err, got, want)
 		}
 	}
-	if d, err := policy.Decide(longRequest(), []Candidate{at(time.Second), doubted}); err != nil || d.ID != "doubted" {
+	if d, err := policy.Decide(longRequest(), []Candidate{at(time.Second), suspected}); err != nil || d.ID != "doubted" {
 		t.Errorf("%v, %v", d.ID, err)
 	}
 }
--- a/internal/route/score.go
+++ b/internal/route/score.go
@@ -3,116 +3,116 @@
 import "time"
 
 const (
-	// stepMs is the time of one step of an engine, and firstSteps the steps until
-	// the first event, which may hold several tokens.
-	stepMs     = 6.0
-	firstSteps = 4
-	// perRequestMs is what each running request adds to a step's time.
-	perRequestMs = 0.04
-	// queuedMs is the price of each request beyond a replica's slots.
-	queuedMs = 40.0
-	// memoryMs is the price of a full memory: what a request needs is taken from
-	// cached parts.
-	memoryMs = 60.0
-	// memoryFull is the use of memory, as it is counted, from which requests wait.
-	memoryFull = 0.95
-	// plainMs is the work of a plain service's request, for its queue.
-	plainMs = 30.0
-	// silenceAfter is the silence from which a replica may hang.
-	silenceAfter = 300 * time.Millisecond
-	// trialMs is the price of trying a replica that failed.
-	trialMs = 250.0
-	// deadlineMargin is kept before the weights' deadline, beside the expected time:
-	// a request begins when its replica has read the prompt.
+	// stepMs is the duration of one step of an engine. stepsToFirstEvent is the number of steps
+	// until the first event, which may hold several tokens.
+	stepMs            = 6.0
+	stepsToFirstEvent = 4
+	// stepMsPerRequest is what each running request adds to the duration of a step.
+	stepMsPerRequest = 0.04
+	// queuedPriceMs is the price of each request in excess of a replica's slots.
+	queuedPriceMs = 40.0
+	// fullMemoryPriceMs is the price of using the whole memory. The memory for a request is
+	// taken from cached prefix blocks, which are evicted.
+	fullMemoryPriceMs = 60.0
+	// memoryWaitThreshold is the estimated memory use above which requests wait for memory.
+	memoryWaitThreshold = 0.95
+	// plainServiceMs is the assumed service time of a request to a plain service.
+	plainServiceMs = 30.0
+	// silenceThreshold is the Silence above which a replica may be hanging.
+	silenceThreshold = 300 * time.Millisecond
+	// trialPriceMs is the price of probing a replica that failed recently.
+	trialPriceMs = 250.0
+	// deadlineMargin is kept before Policy.WeightsDeadline in addition to the expected time,
+	// as a request only begins once its replica has prefilled the prompt.
 	deadlineMargin = 1800 * time.Millisecond
-	// retryAfter is how long a caller waits when no replica can take a request.
+	// retryAfter is the shortest Retry-After of a request that no replica can take.
 	retryAfter = 300 * time.Millisecond
 )
 
-// fits reports whether the replica's whole memory holds the request.
+// fits reports whether the request is not larger than the replica's whole memory.
 func fits(req *Request, c *Candidate) bool {
 	return c.CacheTokens == 0 || req.PromptTokens+req.OutputTokens <= c.CacheTokens
 }
 
-// expected returns the expected time to the first event in milliseconds.
+// expected returns Decision.Expected in milliseconds.
 func (p Policy) expected(req *Request, c *Candidate) float64 {
-	own := p.own(req, c)
+	serviceTime := p.serviceTime(req, c)
 	if c.CacheTokens == 0 {
 		queued := float64(max(0, c.Requests+1-c.Slots))
-		return c.slowness() * own * (1 + queued/float64(max(1, c.Slots)))
+		return c.slowdown() * serviceTime * (1 + queued/float64(max(1, c.Slots)))
 	}
-	return c.slowness()*own + millis(c.FetchTime) + p.waiting(req, c)
+	return c.slowdown()*serviceTime + millis(c.FetchTime) + p.waiting(req, c)
 }
 
-// own returns the time, in milliseconds, that a replica of pace 1 needs for the request
-// alone.
-func (p Policy) own(req *Request, c *Candidate) float64 {
+// serviceTime returns Decision.Own in milliseconds: the time to the first event, or to a plain
+// service's answer, with a slowdown of 1 and without queueing.
+func (p Policy) serviceTime(req *Request, c *Candidate) float64 {
 	if c.CacheTokens == 0 {
-		return plainMs
+		return plainServiceMs
 	}
-	read := millis(p.Reading(req.PromptTokens - c.Cached - c.Fetched))
-	return read + firstSteps*(stepMs+perRequestMs*float64(c.Requests))
+	prefill := millis(p.Reading(req.PromptTokens - c.Cached - c.Fetched))
+	return prefill + stepsToFirstEvent*(stepMs+stepMsPerRequest*float64(c.Requests))
 }
 
-// slowness is how long the replica takes for its work, as a multiple of what is expected
-// of any.
-func (r *Replica) slowness() float64 { return r.pace() * max(1, r.Slow) }
+// slowdown returns the ratio of the replica's actual to its expected service time.
+func (r *Replica) slowdown() float64 { return r.baseSlowdown() * max(1, r.Slow) }
 
-func (r *Replica) pace() float64 {
+func (r *Replica) baseSlowdown() float64 {
 	if r.Pace <= 0 {
 		return 1
 	}
 	return r.Pace
 }
 
-// waiting returns the time that a request is expected to spend behind others, in
-// milliseconds.
+// waiting returns the time, in milliseconds, that the request is expected to be queued behind
+// others.
 func (p Policy) waiting(req *Request, c *Candidate) float64 {
 	if c.CacheTokens == 0 {
 		return 0
 	}
-	return c.slowness()*float64(c.PrefillTokens)/p.PrefillPerMs + p.memoryWait(req, c)
+	return c.slowdown()*float64(c.PrefillTokens)/p.PrefillTokensPerMs + p.memoryWait(req, c)
 }
 
-// score prices a candidate in milliseconds.
+// score returns the score of a candidate in milliseconds: the expected time plus the prices of
+// everything that counts against the candidate.
 func (p Policy) score(req *Request, c *Candidate, expected float64) float64 {
 	score := expected
-	score += float64(max(0, c.Requests-c.Slots)) * queuedMs
-	reread := float64(max(0, req.SharedTokens-c.Cached-c.Fetched)) / float64(max(1, req.PromptTokens))
-	score += p.Reread * reread * millis(req.LatencyTarget)
+	score += float64(max(0, c.Requests-c.Slots)) * queuedPriceMs
+	recomputed := float64(max(0, req.SharedTokens-c.Cached-c.Fetched)) / float64(max(1, req.PromptTokens))
+	score += p.RecomputePrice * recomputed * millis(req.LatencyTarget)
 	score += p.failurePrice(req) * c.Errors
 	if c.AvailabilityZone != req.AvailabilityZone {
-		score += p.OtherZone
+		score += p.CrossZonePrice
 	}
-	if c.Behind > p.OldWeightsAfter {
-		score += p.OldWeights * millis(req.LatencyTarget)
+	if c.Behind > p.OutdatedWeightsGrace {
+		score += p.OutdatedWeightsPrice * millis(req.LatencyTarget)
 	}
-	if c.Silence > silenceAfter {
+	if c.Silence > silenceThreshold {
 		score += millis(c.Silence)
 	}
 	if c.Trial {
-		score += trialMs
+		score += trialPriceMs
 	}
 	return score + memoryPrice(req, c)
 }
 
 // failurePrice returns the price of a certain failure in milliseconds.
 func (p Policy) failurePrice(req *Request) float64 {
-	targets := p.Lost
+	targets := p.NonRepeatableFailurePrice
 	if req.Repeatable {
-		targets = p.Again
+		targets = p.RepeatableFailurePrice
 	}
 	return targets * millis(req.LatencyTarget)
 }
 
-// memoryWait returns how long, in milliseconds, a request waits for memory that
-// requests before it hold.
+// memoryWait returns how long, in milliseconds, the request is expected to wait for memory that
+// earlier requests hold.
 func (p Policy) memoryWait(req *Request, c *Candidate) float64 {
-	over := memoryUse(req, c) - memoryFull
-	return max(0, over) * millis(p.MemoryTurn)
+	over := memoryUse(req, c) - memoryWaitThreshold
+	return max(0, over) * millis(p.MemoryTurnover)
 }
 
-// memoryUse is the part of a replica's memory that is needed with this request.
+// memoryUse returns the fraction of the replica's memory that is needed including this request.
 func memoryUse(req *Request, c *Candidate) float64 {
 	if c.CacheTokens == 0 {
 		return 0
@@ -120,7 +120,7 @@
 	return float64(c.MemoryTokens+req.PromptTokens+req.OutputTokens) / float64(c.CacheTokens)
 }
 
-// memoryPrice is the price of memory that cached parts lose to a request.
+// memoryPrice returns the price of evicting cached prefix blocks for the request's memory.
 func memoryPrice(req *Request, c *Candidate) float64 {
-	return memoryMs * memoryUse(req, c)
+	return fullMemoryPriceMs * memoryUse(req, c)
 }
