--- a/internal/prefix/index.go
+++ b/internal/prefix/index.go
@@ -1,5 +1,5 @@
-// Package prefix keeps what this host believes about which replica or store
-// holds which part of a prompt in its KV cache.
+// Package prefix indexes which replica or KV cache store is assumed to hold which prefix blocks
+// of prompts. A prompt is divided into blocks; its leading blocks may be shared with other requests.
 package prefix
 
 import (
@@ -12,27 +12,28 @@
 	"github.com/briarlink/briarlink/platform"
 )
 
-// Hash names a part under a salt.
+// Hash identifies a prefix block under a salt. The same block has different hashes under
+// different salts, so that they share nothing.
 type Hash uint64
 
-// Prompt is the leading parts of a prompt that other requests may share.
+// Prompt holds the shareable prefix blocks of a prompt, in order, and their sizes in tokens.
 type Prompt struct {
 	Parts  []Hash
 	Tokens []int
 }
 
-// HashOf returns the hash of a part under a salt.
-func HashOf(salt, part string) Hash {
-	return Hash(xxh3.HashStringSeed(part, xxh3.HashString(salt)))
+// HashOf returns the hash of a block ID under a salt.
+func HashOf(salt, block string) Hash {
+	return Hash(xxh3.HashStringSeed(block, xxh3.HashString(salt)))
 }
 
-// NewPrompt returns the shared parts of a prompt under a salt: all but the last,
-// which belongs to the request itself.
-func NewPrompt(salt string, parts []platform.Part) Prompt {
+// NewPrompt returns the shareable blocks of a prompt under a salt: all but the last one, which
+// belongs to the request alone.
+func NewPrompt(salt string, blocks []platform.Part) Prompt {
 	var p Prompt
-	for _, part := range parts[:max(0, len(parts)-1)] {
-		p.Parts = append(p.Parts, HashOf(salt, part.ID))
-		p.Tokens = append(p.Tokens, part.Tokens)
+	for _, block := range blocks[:max(0, len(blocks)-1)] {
+		p.Parts = append(p.Parts, HashOf(salt, block.ID))
+		p.Tokens = append(p.Tokens, block.Tokens)
 	}
 	return p
 }
@@ -46,103 +47,104 @@
 	return sum
 }
 
-// blockTokens is the size of a block of KV cache: of a part that fills no whole
-// number of blocks, the rest is not held.
-const blockTokens = 16
+// cacheBlockTokens is the size of a block in an engine's KV cache. Engines cache only whole
+// cache blocks, so the remainder of a prefix block that does not fill one is not held.
+const cacheBlockTokens = 16
 
-// Index holds, for each replica or store, the parts it is believed to hold, the
-// least recently used dropped first. It is safe for concurrent use; mu is its
-// only lock.
+// Index records, for each holder (a replica or a KV cache store), the prefix blocks that it is
+// assumed to hold. Beyond a holder's capacity the least recently used blocks are dropped. Index is
+// safe for concurrent use; mu is its only lock.
 type Index struct {
 	mu      sync.RWMutex
 	holders map[string]*holder
 }
 
 type holder struct {
-	parts map[Hash]*list.Element
-	// order has the least recently used part in front.
-	order    *list.List
+	blocks map[Hash]*list.Element
+	// lru has the least recently used block in front.
+	lru *list.List
+	// tokens is the sum of the blocks' stored tokens; capacity limits it.
 	tokens   int
 	capacity int
 }
 
-type held struct {
-	part Hash
-	// tokens is the part's size; stored is how many of them are held.
+type cachedBlock struct {
+	block Hash
+	// tokens is the size of the block; stored is how many of its tokens are held.
 	tokens int
 	stored int
-	// ready is when the part is thought to be read; before that it can be shared
-	// with requests at the same replica, but not fetched from it.
+	// ready is when the prefill of the block is expected to be complete. Before that, requests
+	// at the same replica can share the block, but other replicas cannot fetch it.
 	ready time.Time
-	// confirmed is set once a cache event has told of the part.
+	// confirmed is set once a cache event has reported the block.
 	confirmed bool
 }
 
-// NewIndex returns an index that believes nothing.
+// NewIndex returns an empty index.
 func NewIndex() *Index { return &Index{holders: map[string]*holder{}} }
 
-// Add records that a holder with room for capacity tokens holds the prompt, or
-// will have read it at ready.
+// Add records that a holder with a capacity in tokens holds the prompt, or will have prefilled
+// it at ready.
 func (x *Index) Add(id string, p Prompt, capacity int, ready time.Time) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	h := x.holder(id)
 	h.capacity = capacity
-	for i, part := range p.Parts {
-		h.add(part, p.Tokens[i], ready)
+	for i, block := range p.Parts {
+		h.add(block, p.Tokens[i], ready)
 	}
 }
 
 func (x *Index) holder(id string) *holder {
 	h := x.holders[id]
 	if h == nil {
-		h = &holder{parts: map[Hash]*list.Element{}, order: list.New()}
+		h = &holder{blocks: map[Hash]*list.Element{}, lru: list.New()}
 		x.holders[id] = h
 	}
 	return h
 }
 
-func (h *holder) add(part Hash, tokens int, ready time.Time) {
-	if e := h.parts[part]; e != nil {
-		v := e.Value.(*held)
+func (h *holder) add(block Hash, tokens int, ready time.Time) {
+	if e := h.blocks[block]; e != nil {
+		v := e.Value.(*cachedBlock)
 		h.tokens += tokens - v.stored
 		v.tokens, v.stored = tokens, tokens
 		if ready.Before(v.ready) {
 			v.ready = ready
 		}
-		h.order.MoveToBack(e)
+		h.lru.MoveToBack(e)
 	} else {
-		h.parts[part] = h.order.PushBack(&held{part: part, tokens: tokens, stored: tokens, ready: ready})
+		h.blocks[block] = h.lru.PushBack(&cachedBlock{block: block, tokens: tokens, stored: tokens, ready: ready})
 		h.tokens += tokens
 	}
-	for h.tokens > h.capacity && h.order.Len() > 1 {
-		h.remove(h.order.Front())
+	for h.tokens > h.capacity && h.lru.Len() > 1 {
+		h.remove(h.lru.Front())
 	}
 }
 
 func (h *holder) remove(e *list.Element) {
-	v := e.Value.(*held)
-	h.order.Remove(e)
-	delete(h.parts, v.part)
+	v := e.Value.(*cachedBlock)
+	h.lru.Remove(e)
+	delete(h.blocks, v.block)
 	h.tokens -= v.stored
 }
 
-// Stored takes a cache event: a holder now holds so many tokens of a part. An
-// event that says more than the part's known size teaches the size.
-func (x *Index) Stored(id string, part Hash, stored, capacity int, now time.Time) {
+// Stored applies a cache event: the holder now holds stored tokens of a block, 0 if it has
+// evicted the block. If that is more than the recorded size of the block, the size is raised.
+func (x *Index) Stored(id string, block Hash, stored, capacity int, now time.Time) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	h := x.holder(id)
 	h.capacity = capacity
-	e := h.parts[part]
+	e := h.blocks[block]
 	if e == nil {
 		if stored > 0 {
-			h.add(part, stored, now)
-			h.parts[part].Value.(*held).confirmed = true
+			h.add(block, stored, now)
+			h.blocks[block].Value.(*cachedBlock).confirmed = true
 		}
 		return
 	}
-	v := e.Value.(*held)
+	v := e.Value.(*cachedBlock)
 	if stored == 0 {
 		h.remove(e)
 		return
@@ -154,8 +156,8 @@
 	v.ready = now
 }
 
-// Unconfirmed drops the parts that were thought read by before and of which no
-// cache event has told: their reading failed, or they were dropped at once.
+// Unconfirmed removes the blocks whose prefill was expected to be complete by before, but which
+// no cache event has reported: the prefill failed, or they were evicted immediately.
 func (x *Index) Unconfirmed(id string, before time.Time) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -163,16 +165,16 @@
 	if h == nil {
 		return
 	}
-	for _, e := range h.parts {
-		v := e.Value.(*held)
+	for _, e := range h.blocks {
+		v := e.Value.(*cachedBlock)
 		if !v.confirmed && v.ready.Before(before) {
 			h.remove(e)
 		}
 	}
 }
 
-// Unlearn drops the parts of a prompt whose reading failed. Those that a cache
-// event has told of stay.
+// Unlearn removes the blocks of a prompt whose prefill failed, except those that a cache event
+// has reported.
 func (x *Index) Unlearn(id string, p Prompt) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -180,14 +182,14 @@
 	if h == nil {
 		return
 	}
-	for _, part := range p.Parts {
-		if e := h.parts[part]; e != nil && !e.Value.(*held).confirmed {
+	for _, block := range p.Parts {
+		if e := h.blocks[block]; e != nil && !e.Value.(*cachedBlock).confirmed {
 			h.remove(e)
 		}
 	}
 }
 
-// Tokens returns how many tokens a holder is thought to hold.
+// Tokens returns the number of tokens that a holder is assumed to hold.
 func (x *Index) Tokens(id string) int {
 	x.mu.RLock()
 	defer x.mu.RUnlock()
@@ -197,45 +199,45 @@
 	return 0
 }
 
-// Clear drops everything believed of a holder: it restarted or loaded weights.
+// Clear removes all records of a holder. It is called when the holder restarted or loaded weights.
 func (x *Index) Clear(id string) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	delete(x.holders, id)
 }
 
-// Held returns how many leading tokens of the prompt a holder is believed to
-// hold or to be reading, and how many of them are read by now. A part counts only
-// if all parts before it do.
-func (x *Index) Held(id string, p Prompt, now time.Time) (tokens, read int) {
+// Held returns how many leading tokens of the prompt a holder is assumed to hold or to be
+// prefilling, and how many of them are already prefilled. A block only counts if all blocks
+// before it are held.
+func (x *Index) Held(id string, p Prompt, now time.Time) (tokens, prefilled int) {
 	x.mu.RLock()
 	defer x.mu.RUnlock()
 	h := x.holders[id]
 	if h == nil {
 		return 0, 0
 	}
-	allRead := true
-	for i, part := range p.Parts {
-		e := h.parts[part]
+	allPrefilled := true
+	for i, block := range p.Parts {
+		e := h.blocks[block]
 		if e == nil {
 			break
 		}
-		v := e.Value.(*held)
+		v := e.Value.(*cachedBlock)
 		stored := min(v.stored, p.Tokens[i])
 		tokens += stored
-		allRead = allRead && !v.ready.After(now)
-		if allRead {
-			read = tokens
+		allPrefilled = allPrefilled && !v.ready.After(now)
+		if allPrefilled {
+			prefilled = tokens
 		}
-		if stored < p.Tokens[i]-blockTokens {
+		if stored < p.Tokens[i]-cacheBlockTokens {
 			break
 		}
 	}
-	return tokens, read
+	return tokens, prefilled
 }
 
-// ReadyAt returns when a holder is thought to have read the parts of the prompt
-// that it is reading now, or the zero time.
+// ReadyAt returns when a holder is expected to have prefilled the blocks of the prompt that it
+// holds or is prefilling, or the zero time if there are none. The time may be in the past.
 func (x *Index) ReadyAt(id string, p Prompt) time.Time {
 	x.mu.RLock()
 	defer x.mu.RUnlock()
@@ -244,12 +246,12 @@
 	if h == nil {
 		return latest
 	}
-	for _, part := range p.Parts {
-		e := h.parts[part]
+	for _, block := range p.Parts {
+		e := h.blocks[block]
 		if e == nil {
 			break
 		}
-		if ready := e.Value.(*held).ready; ready.After(latest) {
+		if ready := e.Value.(*cachedBlock).ready; ready.After(latest) {
 			latest = ready
 		}
 	}
--- a/internal/prefix/index_test.go
+++ b/internal/prefix/index_test.go
@@ -12,15 +12,15 @@
 )
 
 func testPrompt(salt string, ids ...string) Prompt {
-	var parts []platform.Part
+	var blocks []platform.Part
 	for _, id := range ids {
-		parts = append(parts, platform.Part{ID: id, Tokens: 100})
+		blocks = append(blocks, platform.Part{ID: id, Tokens: 100})
 	}
-	return NewPrompt(salt, append(parts, platform.Part{ID: "own", Tokens: 50}))
+	return NewPrompt(salt, append(blocks, platform.Part{ID: "own", Tokens: 50}))
 }
 
-// TestSaltsShareNothing: another weights version or an isolated organisation has
-// another salt.
+// TestSaltsShareNothing: a different weights version, or an isolated organisation, has a different
+// salt.
 func TestSaltsShareNothing(t *testing.T) {
 	x := NewIndex()
 	now := time.Now()
@@ -35,22 +35,24 @@
 	}
 }
 
-// TestPartsBeingReadAreNoSource: they count for the same replica only.
-func TestPartsBeingReadAreNoSource(t *testing.T) {
+// TestPendingPrefillIsNotFetchable: blocks whose prefill is pending count as held, for requests at
+// the same replica, but not as prefilled, so that other replicas do not fetch them.
+func TestPendingPrefillIsNotFetchable(t *testing.T) {
 	x := NewIndex()
 	now := time.Now()
 	p := testPrompt("s", "a", "b")
 	x.Add("r", p, 10000, now.Add(time.Second))
-	if held, read := x.Held("r", p, now); held != 200 || read != 0 {
-		t.Errorf("held %d, read %d", held, read)
+	if held, prefilled := x.Held("r", p, now); held != 200 || prefilled != 0 {
+		t.Errorf("held %d, prefilled %d", held, prefilled)
 	}
-	if held, read := x.Held("r", p, now.Add(time.Second)); held != 200 || read != 200 {
-		t.Errorf("later: held %d, read %d", held, read)
+	if held, prefilled := x.Held("r", p, now.Add(time.Second)); held != 200 || prefilled != 200 {
+		t.Errorf("after the prefill: held %d, prefilled %d", held, prefilled)
 	}
 }
 
-// TestFailedReadingIsUnlearned, but not what an event has told of.
-func TestFailedReadingIsUnlearned(t *testing.T) {
+// TestFailedPrefillIsRemoved: after a failed prefill only the blocks that a cache event has
+// reported remain.
+func TestFailedPrefillIsRemoved(t *testing.T) {
 	x := NewIndex()
 	now := time.Now()
 	p := testPrompt("s", "a", "b")
@@ -58,29 +60,29 @@
 	x.Stored("r", p.Parts[0], 100, 10000, now)
 	x.Unlearn("r", p)
 	if held, _ := x.Held("r", p, now); held != 100 {
-		t.Errorf("held %d, want the confirmed part", held)
+		t.Errorf("held %d, want the confirmed block", held)
 	}
 }
 
-// TestEventsAgreeWithAnOracle plays stores and evictions told by events.
-func TestEventsAgreeWithAnOracle(t *testing.T) {
+// TestCacheEventsUpdateIndex applies drawn cache events and compares Held with a simple model.
+func TestCacheEventsUpdateIndex(t *testing.T) {
 	ids := []string{"a", "b", "c"}
 	rapid.Check(t, func(t *rapid.T) {
 		x := NewIndex()
 		now := time.Now()
-		truth := map[string]int{}
+		expected := map[string]int{}
 		t.Repeat(map[string]func(*rapid.T){
 			"event": func(t *rapid.T) {
 				id := rapid.SampledFrom(ids).Draw(t, "part")
 				stored := rapid.SampledFrom([]int{0, 48, 100}).Draw(t, "tokens")
-				truth[id] = stored
+				expected[id] = stored
 				x.Stored("r", HashOf("s", id), stored, 10000, now)
 			},
 			"": func(t *rapid.T) {
 				want := 0
 				for _, id := range ids {
-					want += truth[id]
-					if truth[id] < 100-blockTokens {
+					want += expected[id]
+					if expected[id] < 100-cacheBlockTokens {
 						break
 					}
 				}
@@ -116,33 +118,33 @@
 	}
 }
 
-// BenchmarkBytesOfAPart reports the memory that one believed part takes: it bounds
-// how many a host can know of.
-func BenchmarkBytesOfAPart(b *testing.B) {
-	const parts = 200_000
+// BenchmarkBytesPerBlock reports the memory use per indexed block, which limits how many blocks a
+// host can index.
+func BenchmarkBytesPerBlock(b *testing.B) {
+	const blocks = 200_000
 	for b.Loop() {
 		var before, after runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&before)
 		x := NewIndex()
 		now := time.Now()
-		for i := range parts {
-			x.Stored("holder", Hash(i), blockTokens, parts*blockTokens, now)
+		for i := range blocks {
+			x.Stored("holder", Hash(i), cacheBlockTokens, blocks*cacheBlockTokens, now)
 		}
 		runtime.GC()
 		runtime.ReadMemStats(&after)
-		b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/parts, "B/part")
+		b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/blocks, "B/part")
 		runtime.KeepAlive(x)
 	}
 }
 
-// BenchmarkStored is the cost of one cache event.
+// BenchmarkStored measures the cost of one cache event.
 func BenchmarkStored(b *testing.B) {
 	x := NewIndex()
 	now := time.Now()
 	i := 0
 	for b.Loop() {
 		i++
-		x.Stored("holder", Hash(i%50_000), blockTokens, 1<<30, now)
+		x.Stored("holder", Hash(i%50_000), cacheBlockTokens, 1<<30, now)
 	}
 }
