--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -1,5 +1,5 @@
-// Package retry bounds how often requests are sent to a backend server again, so
-// that repeats cannot multiply an overload.
+// Package retry limits how often requests are retried at backend servers, so that retries cannot
+// amplify an overload.
 package retry
 
 import (
@@ -7,17 +7,18 @@
 	"time"
 )
 
-// slices is the number of slices of a window. Repeats are counted in one slice
-// more than a window has, and requests only in those that surely lie within it.
-const slices = 20
+// bucketsPerWindow is the number of time buckets of a window. The window does not end at the
+// boundary of a bucket, so the count errs on the safe side: retries are counted in one bucket
+// more than a window has, and requests only in buckets that lie entirely within it.
+const bucketsPerWindow = 20
 
-// ratioMargin keeps a part of the ratio for requests that other hosts count in
-// another window.
+// ratioMargin scales the ratio down, as the hosts' windows are not aligned: another host may count
+// requests of the same moment in a different window.
 const ratioMargin = 0.8
 
-// Budget bounds the repeats to each service. The hosts share one bound without
-// asking each other: each spends the ratio of its own requests and an equal part
-// of the slack. It is safe for concurrent use.
+// Budget limits the retries to each service. All hosts together keep within one limit without
+// coordination: each host may retry a ratio of its own requests plus an equal share of the slack.
+// It is safe for concurrent use.
 type Budget struct {
 	ratio  float64
 	window time.Duration
@@ -28,25 +29,27 @@
 	started  time.Time
 }
 
+// counter holds the counts of one service in a ring of buckets.
 type counter struct {
-	slots [slices + 1]slot
+	buckets [bucketsPerWindow + 1]bucket
 }
 
-type slot struct {
+type bucket struct {
+	// number is the index of the bucket since the start of the budget.
 	number   int64
 	requests int
-	repeats  int
+	retries  int
 }
 
-// NewBudget returns a budget. Slack is the number of repeats in a window beyond
-// the ratio, over all hosts.
+// NewBudget returns a budget that allows at most ratio retries per request in each window, plus a
+// slack of so many retries, which all hosts share.
 func NewBudget(ratio float64, window time.Duration, slack float64, hosts int, now time.Time) *Budget {
 	b := &Budget{ratio: ratio * ratioMargin, window: window, services: map[string]*counter{}, started: now}
 	b.SetHosts(slack, hosts)
 	return b
 }
 
-// SetHosts takes the number of hosts that share the slack.
+// SetHosts sets the slack of all hosts together and the number of hosts that share it.
 func (b *Budget) SetHosts(slack float64, hosts int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -57,44 +60,44 @@
 func (b *Budget) Request(service string, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.slot(service, now).requests++
+	b.bucket(service, now).requests++
 }
 
-// Take takes one repeat and reports whether there was one left.
+// Take reports whether a retry is within the budget, and counts it if so.
 func (b *Budget) Take(service string, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	s := b.slot(service, now)
-	requests, repeats := b.sum(service, s.number)
-	if float64(repeats+1) > b.ratio*float64(requests)+b.slack {
+	s := b.bucket(service, now)
+	requests, retries := b.sum(service, s.number)
+	if float64(retries+1) > b.ratio*float64(requests)+b.slack {
 		return false
 	}
-	s.repeats++
+	s.retries++
 	return true
 }
 
-func (b *Budget) slot(service string, now time.Time) *slot {
+func (b *Budget) bucket(service string, now time.Time) *bucket {
 	c := b.services[service]
 	if c == nil {
 		c = &counter{}
 		b.services[service] = c
 	}
-	number := int64(max(0, now.Sub(b.started)) / (b.window / slices))
-	s := &c.slots[number%int64(len(c.slots))]
+	number := int64(max(0, now.Sub(b.started)) / (b.window / bucketsPerWindow))
+	s := &c.buckets[number%int64(len(c.buckets))]
 	if s.number != number {
-		*s = slot{number: number}
+		*s = bucket{number: number}
 	}
 	return s
 }
 
-func (b *Budget) sum(service string, number int64) (requests, repeats int) {
-	for _, s := range b.services[service].slots {
-		if number-s.number < slices {
+func (b *Budget) sum(service string, number int64) (requests, retries int) {
+	for _, s := range b.services[service].buckets {
+		if number-s.number < bucketsPerWindow {
 			requests += s.requests
 		}
-		if number-s.number <= slices {
-			repeats += s.repeats
+		if number-s.number <= bucketsPerWindow {
+			retries += s.retries
 		}
 	}
-	return requests, repeats
+	return requests, retries
 }
--- a/internal/retry/budget_test.go
+++ b/internal/retry/budget_test.go
@@ -9,9 +9,8 @@
 	_ "github.com/briarlink/briarlink/test/fixedseed"
 )
 
-// TestBudgetHoldsInEveryWindow draws requests and repeats at several hosts and
-// counts the repeats of every window against the requests of it and of the one
-// before.
+// TestBudgetHoldsInEveryWindow draws requests and retries at several hosts and checks the retries
+// of every window against the requests of this window and the previous one.
 func TestBudgetHoldsInEveryWindow(t *testing.T) {
 	const (
 		hosts  = 3
@@ -26,7 +25,7 @@
 		for range hosts {
 			budgets = append(budgets, NewBudget(ratio, window, slack, hosts, start))
 		}
-		var requests, repeats []time.Time
+		var requests, retries []time.Time
 		t.Repeat(map[string]func(*rapid.T){
 			"time passes": func(t *rapid.T) {
 				now = now.Add(time.Duration(rapid.IntRange(1, 3000).Draw(t, "ms")) * time.Millisecond)
@@ -42,19 +41,19 @@
 				h := rapid.IntRange(0, hosts-1).Draw(t, "host")
 				for range rapid.IntRange(1, 20).Draw(t, "n") {
 					if budgets[h].Take("s", now) {
-						repeats = append(repeats, now)
+						retries = append(retries, now)
 					}
 				}
 			},
 		})
-		for _, end := range repeats {
+		for _, end := range retries {
 			begin := end.Add(-window)
-			got := count(repeats, begin, end)
-			// A host's repeats follow its requests of up to a window before; the hosts'
-			// requests may lie apart, so that both windows together bound the sum.
+			got := count(retries, begin, end)
+			// A host's retries depend on its requests of up to one window before. The hosts'
+			// requests may be spread over two windows, so the requests of both limit the sum.
 			allowed := ratio*float64(count(requests, begin.Add(-window), end)) + slack
 			if float64(got) > allowed+1e-9 {
-				t.Fatalf("%d repeats in a window that allows %.1f", got, allowed)
+				t.Fatalf("%d retries in a window that allows %.1f", got, allowed)
 			}
 		}
 	})
@@ -74,9 +73,9 @@
 	now := time.Now()
 	b := NewBudget(0, time.Second, 1, 1, now)
 	if !b.Take("a", now) || b.Take("a", now) || !b.Take("b", now) {
-		t.Error("want one repeat each")
+		t.Error("want one retry for each service")
 	}
 	if !b.Take("a", now.Add(2*time.Second)) {
-		t.Error("a window later there is one again")
+		t.Error("want another retry after the window")
 	}
 }
