--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -49,19 +49,19 @@
 // tried.
 func TestSuspectedReplicasAreTheLastResort(t *testing.T) {
 	policy := DefaultPolicy()
-	sound, silent, longSilent, gone := engine("sound"), engine("silent"), engine("long silent"), engine("gone")
-	sound.PrefillTokens, sound.Errors = 200_000, 0.9
-	silent.Doubted, silent.Silence = true, time.Second
-	longSilent.Doubted, longSilent.Silence = true, 4*time.Second
-	gone.Doubted, gone.Usable = true, false
+	healthy, unresponsive, longUnresponsive, unusable := engine("sound"), engine("silent"), engine("long silent"), engine("gone")
+	healthy.PrefillTokens, healthy.Errors = 200_000, 0.9
+	unresponsive.Doubted, unresponsive.Silence = true, time.Second
+	longUnresponsive.Doubted, longUnresponsive.Silence = true, 4*time.Second
+	unusable.Doubted, unusable.Usable = true, false
 	loading := engine("loading")
 	loading.Loading = true
 	for want, candidates := range map[string][]Candidate{
-		"sound":  {longSilent, silent, sound, gone},
-		"silent": {longSilent, silent, gone},
-		"":       {gone},
+		"sound":  {longUnresponsive, unresponsive, healthy, unusable},
+		"silent": {longUnresponsive, unresponsive, unusable},
+		"":       {unusable},
 		// The replica that loads weights will be available shortly, so the suspected one is not tried.
-		"nobody yet": {silent, loading},
+		"nobody yet": {unresponsive, loading},
 	} {
 		d, _ := policy.Decide(longRequest(), candidates)
 		if d.ID != strings.TrimPrefix(want, "nobody yet") {
@@ -232,10 +232,10 @@
 		c.Backoff = backoff
 		return c
 	}
-	loading, gone, suspected := engine("loading"), engine("gone"), engine("doubted")
-	loading.Loading, gone.Usable, suspected.Doubted = true, false, true
+	loading, unusable, suspected := engine("loading"), engine("gone"), engine("doubted")
+	loading.Loading, unusable.Usable, suspected.Doubted = true, false, true
 	for want, candidates := range map[time.Duration][]Candidate{
-		2 * time.Second: {at(4 * time.Second), at(2 * time.Second), gone},
+		2 * time.Second: {at(4 * time.Second), at(2 * time.Second), unusable},
 		retryAfter:      {at(4 * time.Second), loading},
 	} {
 		_, err := policy.Decide(longRequest(), candidates)
