--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -238,9 +238,10 @@
 }
 
 // allowConnectRetry makes the replica to which a connection timed out eligible again if no
-// other replica can take the request, and reports whether it did so. It does this once a
-// request. Nothing was sent, so this is safe for any request. With it, one slow connection
-// delays the callers of a service with a single server rather than failing their requests.
+// other replica can take the request, and reports whether it did so. It does so at most once per
+// request. Nothing was sent, so a second attempt is safe for any request. With it, one slow
+// connection delays the callers of a service with a single server instead of failing their
+// requests.
 func (r *run) allowConnectRetry(err error) bool {
 	if r.connectRetried || r.connectTimedOut == "" || !errkind.Is(err, errkind.NoBackend) {
 		return false
--- a/internal/prefix/index.go
+++ b/internal/prefix/index.go
@@ -83,8 +83,8 @@
 // NewIndex returns an empty index.
 func NewIndex() *Index { return &Index{holders: map[string]*holder{}} }
 
-// Add records that a holder with a capacity in tokens holds the prompt, or will have prefilled
-// it at ready.
+// Add records that a holder holds the prompt, or will have prefilled it at ready. capacity is the
+// size of the holder's cache in tokens.
 func (x *Index) Add(id string, p Prompt, capacity int, ready time.Time) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
