--- a/internal/rollout/ask.go
+++ b/internal/rollout/ask.go
@@ -7,66 +7,65 @@
 )
 
 const (
-	// askInterval is how often some of the silent replicas are asked whether they answer
-	// again. It is longer than callTimeout, so that the answers to one round are there
-	// before the next.
-	askInterval = 750 * time.Millisecond
-	// askAtOnce bounds how many are asked in that time: reports are dear, and replicas that
-	// went silent together mostly come back together.
-	askAtOnce = 4
+	// probeInterval is the time between two rounds of probes of unresponsive replicas. It is
+	// longer than callTimeout, so that each round has its answers before the next begins.
+	probeInterval = 750 * time.Millisecond
+	// maxProbes bounds the replicas probed in a round: reports are expensive, and replicas
+	// that became unresponsive together mostly recover together.
+	maxProbes = 4
 )
 
-// toAsk returns the replicas to ask now whether they answer again, where this host has left
-// the lease because it tried all that are left in vain, and holds it still. Without that,
-// replicas that come back wait until the lease has run out, 3.3 s, and 2.4 s more where no
-// other host wants it.
-func (l *Loader) toAsk(behind []target, now time.Time) []target {
+// replicasToProbe returns the replicas to probe now, if any. Probes are sent only while this
+// host still holds a lease that it has yielded because it failed to load all outdated
+// replicas. Without them a replica that recovers would wait until the lease has ended,
+// 3.3 s, and 2.4 s more if no other host takes it.
+func (l *Loader) replicasToProbe(outdated []loadTarget, now time.Time) []loadTarget {
 	held := l.lease.HeldEnd() != 0
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !held || !l.hasLeft() || !l.leftInVain || !l.mayResume() || now.Sub(l.asked) < askInterval {
+	if !held || !l.hasYielded() || !l.yieldedAfterFailures || !l.mayResume() || now.Sub(l.lastProbe) < probeInterval {
 		return nil
 	}
-	out := l.silent(behind)
-	out = out[:min(askAtOnce, len(out))]
+	out := l.unresponsive(outdated)
+	out = out[:min(maxProbes, len(out))]
 	for _, t := range out {
 		f := l.failed[t.server.ID]
-		f.asked = now
+		f.lastProbe = now
 		l.failed[t.server.ID] = f
-		l.asked = now
+		l.lastProbe = now
 	}
 	return out
 }
 
-// silent returns the targets that answered no call of their last try and are not being
-// tried, those first that were asked longest ago. l.mu is held.
-func (l *Loader) silent(behind []target) []target {
-	var out []target
-	for _, t := range behind {
-		if f, failed := l.failure(t); failed && !f.answered && l.busy[t.server.ID] == nil {
+// unresponsive returns the outdated replicas that answered no call of their last attempt and
+// have none in progress, least recently probed first. l.mu is held.
+func (l *Loader) unresponsive(outdated []loadTarget) []loadTarget {
+	var out []loadTarget
+	for _, t := range outdated {
+		if f, failed := l.lastFailure(t); failed && !f.answered && l.attempts[t.server.ID] == nil {
 			out = append(out, t)
 		}
 	}
 	sort.SliceStable(out, func(i, j int) bool {
-		return l.failed[out[i].server.ID].asked.Before(l.failed[out[j].server.ID].asked)
+		return l.failed[out[i].server.ID].lastProbe.Before(l.failed[out[j].server.ID].lastProbe)
 	})
 	return out
 }
 
-// ask asks a replica for a report and notes that it answers.
-func (l *Loader) ask(ctx context.Context, t target) {
+// probe requests a report from a replica and records whether it answers again.
+func (l *Loader) probe(ctx context.Context, t loadTarget) {
 	report, err := l.report(ctx, t)
 	if err != nil {
 		l.log.WithError(err).WithField("replica", t.server.ID).Debug("replica does not answer yet")
 		return
 	}
-	if l.holds(t, report) {
+	if l.recordIfLoaded(t, report) {
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if f, failed := l.failure(t); failed {
-		f.back = true
+	if f, failed := l.lastFailure(t); failed {
+		f.answersAgain = true
 		l.failed[t.server.ID] = f
 	}
 }
--- a/internal/rollout/ask_test.go
+++ b/internal/rollout/ask_test.go
@@ -12,45 +12,47 @@
 	"github.com/briarlink/briarlink/platform"
 )
 
-// reaches tells which replicas a host reaches at a time.
-type reaches func(id string, now time.Time) bool
+// reachability reports whether a host reaches a replica at a time.
+type reachability func(id string, now time.Time) bool
 
-// patchyView is a host that reaches replicas now and then.
-type patchyView struct {
+// intermittentView is the view of a host that reaches replicas only at times.
+type intermittentView struct {
 	hostView
-	reaches
+	reachability
 }
 
-func (v patchyView) Report(ctx context.Context, address, id string) (platform.EngineReport, error) {
-	if !v.reaches(address, time.Now()) {
+func (v intermittentView) Report(ctx context.Context, address, id string) (platform.EngineReport, error) {
+	if !v.reachability(address, time.Now()) {
 		time.Sleep(callTimeout)
 		return platform.EngineReport{}, errLost
 	}
 	return v.fakeFleet.Report(ctx, address, id)
 }
 
-func (v patchyView) Order(ctx context.Context, address string, o platform.LoadOrder) (platform.OrderResult, error) {
-	if !v.reaches(address, time.Now()) {
+func (v intermittentView) Order(ctx context.Context, address string, o platform.LoadOrder) (platform.OrderResult, error) {
+	if !v.reachability(address, time.Now()) {
 		time.Sleep(callTimeout)
 		return platform.OrderLost, errLost
 	}
 	return v.fakeFleet.Order(ctx, address, o)
 }
 
-// patchyRollout returns how long a version takes, two minutes at most, where the host that
-// comes first reaches replicas as told, and the second one all.
-func patchyRollout(t *testing.T, n int, first reaches) (took time.Duration) {
+// intermittentRollout returns how long the rollout of a version to n replicas takes, two
+// minutes at most, if the host that takes the lease first reaches replicas as given and the
+// second host reaches all.
+func intermittentRollout(t *testing.T, n int, first reachability) (took time.Duration) {
 	synctest.Test(t, func(t *testing.T) {
 		fleet := newFakeFleet(n)
 		all := func(string, time.Time) bool { return true }
-		took = nameVersion(t, fleet, 0, 2*time.Minute, nil, patchyView{hostView{fakeFleet: fleet}, first}, patchyView{hostView{fakeFleet: fleet}, all})
+		took = announceVersion(t, fleet, 0, 2*time.Minute, nil, intermittentView{hostView{fakeFleet: fleet}, first}, intermittentView{hostView{fakeFleet: fleet}, all})
 	})
 	return took
 }
 
-// flapping reaches the first replicas for a part of each period, the others always.
-func flapping(cut int, on, off, phase, spread time.Duration) reaches {
-	ids := replicas(cut)
+// flapping returns the reachability of a host that reaches the first replicas for a part of
+// each period, and the others always. The periods of the replicas differ by spread.
+func flapping(replicaCount int, on, off, phase, spread time.Duration) reachability {
+	ids := replicas(replicaCount)
 	return func(id string, now time.Time) bool {
 		var i int
 		if _, err := fmt.Sscanf(id, "i-%d", &i); err != nil || !ids[id] {
@@ -60,15 +62,15 @@
 	}
 }
 
-// TestFlappingReplicasAreLeftToAnotherHost: a holder that had left the lease took it anew as
-// soon as a replica answered it for a moment, before the host that reaches all came to its
-// turn, again and again for a minute.
-func TestFlappingReplicasAreLeftToAnotherHost(t *testing.T) {
+// TestFlappingReplicasAreLoadedByAnotherHost guards against a holder that resumes a yielded
+// lease each time a replica answers for a moment: for a minute it did so again and again,
+// before the turn of the host that reaches all replicas came.
+func TestFlappingReplicasAreLoadedByAnotherHost(t *testing.T) {
 	t.Parallel()
 	const ms = time.Millisecond
 	late, worst := 0, time.Duration(0)
 	for range 50 {
-		took := patchyRollout(t, 6, flapping(2, 594*ms, 5215*ms, 2405*ms, 345*ms))
+		took := intermittentRollout(t, 6, flapping(2, 594*ms, 5215*ms, 2405*ms, 345*ms))
 		worst = max(worst, took)
 		if took > 14*time.Second {
 			late++
@@ -79,15 +81,16 @@
 	}
 }
 
-// TestHostWithAShareOfAnswersLeavesTheLease: one answer in a dozen tries under way kept the
-// lease with a host that gets fewer than half of its calls answered, for up to 39 s.
-func TestHostWithAShareOfAnswersLeavesTheLease(t *testing.T) {
+// TestHostWithFewAnswersYieldsLease guards against a single answer among a dozen attempts in
+// progress keeping the lease, for up to 39 s, with a host that gets fewer than half of its
+// calls answered.
+func TestHostWithFewAnswersYieldsLease(t *testing.T) {
 	t.Parallel()
 	late, worst := 0, time.Duration(0)
 	for seed := range uint64(15) {
 		var mu sync.Mutex
 		draw := rand.New(rand.NewPCG(seed, 0))
-		took := patchyRollout(t, 60, func(string, time.Time) bool {
+		took := intermittentRollout(t, 60, func(string, time.Time) bool {
 			mu.Lock()
 			defer mu.Unlock()
 			return draw.Float64() < 0.45
@@ -102,73 +105,76 @@
 	}
 }
 
-// lateReturns runs a lone host with replicas that come back at many moments, and returns how
-// many of a hundred times f, the time until they are loaded, is too long.
-func lateReturns(t *testing.T, f func(t *testing.T, back time.Duration) time.Duration) (late int) {
-	for back := 3 * time.Second; back < 20*time.Second; back += 170 * time.Millisecond {
-		var took time.Duration
-		synctest.Test(t, func(t *testing.T) { took = f(t, back) })
-		if took > returnWithin {
+// countLateLoads calls f, which returns how long a load was delayed, with a hundred different
+// times at which replicas return, and counts the delays that are too long.
+func countLateLoads(t *testing.T, f func(t *testing.T, unresponsiveFor time.Duration) time.Duration) (late int) {
+	for unresponsiveFor := 3 * time.Second; unresponsiveFor < 20*time.Second; unresponsiveFor += 170 * time.Millisecond {
+		var delay time.Duration
+		synctest.Test(t, func(t *testing.T) { delay = f(t, unresponsiveFor) })
+		if delay > maxLoadDelay {
 			late++
-			t.Logf("%v: back after %v, loaded %v later", t.Name(), back, took)
+			t.Logf("%v: back after %v, loaded %v later", t.Name(), unresponsiveFor, delay)
 		}
 	}
 	return late
 }
 
-// TestOneReturnsWithTheWeights: an order was carried out and its answer lost. Its replica's
-// return says nothing of the others, and a host that took it for progress left the lease a
-// second time without asking the others.
-func TestOneReturnsWithTheWeights(t *testing.T) {
+// TestReplicaReturnsWithWantedWeights guards against a host taking the return of one replica
+// for progress: an order had been executed and its answer lost, so that the replica returned
+// with the wanted weights. That says nothing about the others, but the host yielded the lease
+// a second time without probing them.
+func TestReplicaReturnsWithWantedWeights(t *testing.T) {
 	t.Parallel()
-	late := lateReturns(t, func(t *testing.T, back time.Duration) time.Duration {
-		fleet, v := newFakeFleet(6), hostView{cut: replicas(2)}
+	late := countLateLoads(t, func(t *testing.T, unresponsiveFor time.Duration) time.Duration {
+		fleet, v := newFakeFleet(6), hostView{unreachable: replicas(2)}
 		return runHosts(t, fleet, 0, func() {
-			time.Sleep(back)
+			time.Sleep(unresponsiveFor)
 			fleet.set(func() {
 				fleet.actual["i-0"].version, fleet.actual["i-0"].sequence = 2, 1
-				delete(v.cut, "i-0")
+				delete(v.unreachable, "i-0")
 			})
 			time.Sleep(time.Second)
-			fleet.set(func() { clear(v.cut) })
-		}, v) - back - time.Second
+			fleet.set(func() { clear(v.unreachable) })
+		}, v) - unresponsiveFor - time.Second
 	})
 	if late > 0 {
 		t.Errorf("late %d times", late)
 	}
 }
 
-// TestOneReturnsWhileAnotherRefuses orders: it is asked all the same.
-func TestOneReturnsWhileAnotherRefuses(t *testing.T) {
+// TestReplicaReturnsWhileAnotherRefuses checks that an unresponsive replica is probed also
+// while another one refuses orders.
+func TestReplicaReturnsWhileAnotherRefuses(t *testing.T) {
 	t.Parallel()
-	late := lateReturns(t, func(t *testing.T, back time.Duration) time.Duration {
-		fleet, v := newFakeFleet(6), hostView{cut: map[string]bool{"i-1": true}, refusing: replicas(1)}
+	late := countLateLoads(t, func(t *testing.T, unresponsiveFor time.Duration) time.Duration {
+		fleet, v := newFakeFleet(6), hostView{unreachable: map[string]bool{"i-1": true}, refusing: replicas(1)}
 		return runHosts(t, fleet, 1, func() {
-			time.Sleep(back)
-			fleet.set(func() { clear(v.cut) })
-		}, v) - back
+			time.Sleep(unresponsiveFor)
+			fleet.set(func() { clear(v.unreachable) })
+		}, v) - unresponsiveFor
 	})
 	if late > 0 {
 		t.Errorf("late %d times", late)
 	}
 }
 
-// TestReplicaJoinsWhileTheLeaseIsLeft with old weights: it has not been tried in vain, and
-// is ordered while the lease lasts. It waited for the next term at 47 of these moments. Where
-// it joins between two terms, silent ones may be tried before it.
-func TestReplicaJoinsWhileTheLeaseIsLeft(t *testing.T) {
+// TestReplicaJoinsAfterLeaseIsYielded checks that a replica that joins with outdated weights,
+// at which no attempt has failed, is loaded while the yielded lease lasts. Before, it waited
+// for the next term at 47 of these times. If it joins between two terms, unresponsive replicas
+// may be tried before it.
+func TestReplicaJoinsAfterLeaseIsYielded(t *testing.T) {
 	t.Parallel()
-	late := lateReturns(t, func(t *testing.T, back time.Duration) (took time.Duration) {
+	late := countLateLoads(t, func(t *testing.T, joinAfter time.Duration) (took time.Duration) {
 		fleet := newFakeFleet(6)
 		runHosts(t, fleet, 0, func() {
-			time.Sleep(back)
-			fleet.set(func() { fleet.actual["i-6"], fleet.known["i-6"] = &fakeReplica{version: 1}, 1 })
+			time.Sleep(joinAfter)
+			fleet.set(func() { fleet.actual["i-6"], fleet.assumed["i-6"] = &fakeReplica{version: 1}, 1 })
 			began := time.Now()
 			for done := false; !done && took < 20*time.Second; took = time.Since(began) {
 				time.Sleep(10 * time.Millisecond)
 				fleet.set(func() { done = fleet.actual["i-6"].version == 2 })
 			}
-		}, hostView{cut: replicas(2)})
+		}, hostView{unreachable: replicas(2)})
 		return took
 	})
 	if late > 15 {
@@ -176,57 +182,59 @@
 	}
 }
 
-// askCounter notes reports from a replica that is not being tried, once the lease was left.
-type askCounter struct {
+// probeCounter records when its host sends probes: requests for a report from a replica with
+// no attempt in progress, while the lease is yielded.
+type probeCounter struct {
 	hostView
-	host *rolloutHost
-	mu   *sync.Mutex
-	at   *[]time.Time
+	host  *rolloutHost
+	mu    *sync.Mutex
+	times *[]time.Time
 }
 
-func (a askCounter) Report(ctx context.Context, address, id string) (platform.EngineReport, error) {
-	l := a.host.loader
+func (c probeCounter) Report(ctx context.Context, address, id string) (platform.EngineReport, error) {
+	l := c.host.loader
 	l.mu.Lock()
-	ask := l.hasLeft() && l.busy[id] == nil
+	isProbe := l.hasYielded() && l.attempts[id] == nil
 	l.mu.Unlock()
-	if ask {
-		a.mu.Lock()
-		*a.at = append(*a.at, time.Now())
-		a.mu.Unlock()
+	if isProbe {
+		c.mu.Lock()
+		*c.times = append(*c.times, time.Now())
+		c.mu.Unlock()
 	}
-	return a.hostView.Report(ctx, address, id)
+	return c.hostView.Report(ctx, address, id)
 }
 
-// TestQuestionsAreBounded: four in each interval, however many replicas are silent.
-func TestQuestionsAreBounded(t *testing.T) {
+// TestProbesAreBounded checks that at most four probes are sent in each interval, however
+// many replicas are unresponsive.
+func TestProbesAreBounded(t *testing.T) {
 	t.Parallel()
 	for _, n := range []int{6, 12, 30} {
-		most := 0
+		maxSeen := 0
 		synctest.Test(t, func(t *testing.T) {
-			fleet, host, at := newFakeFleet(60), rolloutHost{}, []time.Time{}
-			host = newRolloutHost(t, "a", 1, newFakeLog(), askCounter{hostView{fakeFleet: fleet, cut: replicas(n)}, &host, &sync.Mutex{}, &at})
+			fleet, host, times := newFakeFleet(60), rolloutHost{}, []time.Time{}
+			host = newRolloutHost(t, "a", 1, newFakeLog(), probeCounter{hostView{fakeFleet: fleet, unreachable: replicas(n)}, &host, &sync.Mutex{}, &times})
 			fleet.set(func() { fleet.wanted = 2 })
 			ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 			defer cancel()
 			host.loader.Run(ctx)
-			for i := range at {
+			for i := range times {
 				j := i
-				for j < len(at) && at[j].Sub(at[i]) < askInterval {
+				for j < len(times) && times[j].Sub(times[i]) < probeInterval {
 					j++
 				}
-				most = max(most, j-i)
+				maxSeen = max(maxSeen, j-i)
 			}
 			time.Sleep(10 * time.Second)
 		})
-		if most > askAtOnce {
-			t.Errorf("%d silent: %d questions within %v, want at most %d", n, most, askInterval, askAtOnce)
+		if maxSeen > maxProbes {
+			t.Errorf("%d unresponsive: %d probes within %v, want at most %d", n, maxSeen, probeInterval, maxProbes)
 		}
 	}
 }
 
-// TestLateAnswerDoesNotTakeBackALeaseThatIsGone: a question was under way when another host
-// took it; this one still comes last.
-func TestLateAnswerDoesNotTakeBackALeaseThatIsGone(t *testing.T) {
+// TestLateProbeAnswerDoesNotResumeLostLease checks that a host whose probe is answered after
+// another host has taken the lease still comes last.
+func TestLateProbeAnswerDoesNotResumeLostLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fleet, log := newFakeFleet(2), newFakeLog()
 		fleet.wanted = 2
@@ -235,20 +243,20 @@
 		if !a.lease.Try(t.Context()) {
 			t.Fatal("not taken")
 		}
-		a.loader.noteTerm(time.Now())
-		a.loader.newest[testModel] = 2
-		asked := a.loader.behind()[0]
-		a.loader.left, a.loader.leftInVain = a.loader.term, true
-		a.loader.failed[asked.server.ID] = failure{version: 2}
-		time.Sleep(testTTL + 2*takeOverMargin)
+		a.loader.resetForNewTerm(time.Now())
+		a.loader.newestWanted[testModel] = 2
+		target := a.loader.outdated()[0]
+		a.loader.yieldedTerm, a.loader.yieldedAfterFailures = a.loader.leaseTerm, true
+		a.loader.failed[target.server.ID] = failure{version: 2}
+		time.Sleep(testTTL + 2*takeoverMargin)
 		if !b.lease.Try(t.Context()) {
 			t.Fatal("not taken over")
 		}
 		time.Sleep(time.Second)
-		a.loader.ask(t.Context(), asked)
-		a.loader.plan(t.Context(), a.loader.behind(), time.Now())
-		if a.loader.left != a.loader.term {
-			t.Error("notes that it keeps a lease which another host holds, and would not come last")
+		a.loader.probe(t.Context(), target)
+		a.loader.plan(t.Context(), a.loader.outdated(), time.Now())
+		if a.loader.yieldedTerm != a.loader.leaseTerm {
+			t.Error("resumed a lease that another host holds, and would not come last")
 		}
 	})
 }
--- a/internal/rollout/follow.go
+++ b/internal/rollout/follow.go
@@ -14,55 +14,56 @@
 )
 
 const (
-	// readWait is how long a read waits for a record at the store.
-	readWait = 15 * time.Second
-	// heardHold is how long the holder's word spares a read.
-	heardHold = 700 * time.Millisecond
-	// readPause follows a failed read.
-	readPause = 300 * time.Millisecond
+	// pollTimeout is how long the store holds a read open until there is a record.
+	pollTimeout = 15 * time.Second
+	// holderReportTTL is how long a report from the lease holder replaces reads of the log.
+	holderReportTTL = 700 * time.Millisecond
+	// readRetryDelay is the wait after a failed read.
+	readRetryDelay = 300 * time.Millisecond
 )
 
-// Follow reads the lease's log until ctx ends.
+// Follow reads the lease's log until ctx is done.
 func (l *Lease) Follow(ctx context.Context) {
 	for ctx.Err() == nil {
-		if l.told() || !l.Follows() {
-			clock.Sleep(ctx, readPause)
+		if l.holderReportedRecently() || !l.Follows() {
+			clock.Sleep(ctx, readRetryDelay)
 			continue
 		}
 		l.mu.Lock()
 		from := l.end
-		wait := readWait
+		wait := pollTimeout
 		if l.machine.Is(StateUnknown) {
 			wait = 0
 		}
 		l.mu.Unlock()
-		page, err := l.read(ctx, from, wait)
-		if !l.took(page, from, err) {
-			clock.Sleep(ctx, readPause)
+		page, err := l.poll(ctx, from, wait)
+		if !l.handleRead(page, from, err) {
+			clock.Sleep(ctx, readRetryDelay)
 		}
 	}
 }
 
-// read reads the log from an offset on, until an append shows that it has gone on there.
-func (l *Lease) read(ctx context.Context, from int64, wait time.Duration) (platform.Page, error) {
+// poll reads the log from an offset on. An append that conflicts cancels it: the log has
+// then grown, and the answer to this read may have been lost.
+func (l *Lease) poll(ctx context.Context, from int64, wait time.Duration) (platform.Page, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	l.mu.Lock()
-	l.reread = cancel
+	l.cancelRead = cancel
 	l.mu.Unlock()
 	return l.store.Read(ctx, l.Topic, from, wait)
 }
 
-// told reports whether the holder's own word makes a read needless: each record
-// would wake every host.
-func (l *Lease) told() bool {
+// holderReportedRecently reports whether reports from the lease holder make reads of the log
+// unnecessary. Otherwise each record would wake up every host.
+func (l *Lease) holderReportedRecently() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.machine.Is(StateOther) && clock.Since(l.heard) < heardHold
+	return l.machine.Is(StateOther) && clock.Since(l.holderLastSeen) < holderReportTTL
 }
 
-// Heard takes the word of a host that holds the lease, with the end of its log;
-// 0 from all others.
+// Heard records a report from another host: end is the end of the lease's log if that host
+// holds the lease, or 0 if it does not.
 func (l *Lease) Heard(holder string, end int64) {
 	if end == 0 {
 		return
@@ -73,17 +74,17 @@
 		return
 	}
 	now := clock.Now()
-	l.heard = now
+	l.holderLastSeen = now
 	if end == l.end {
 		return
 	}
-	l.end, l.seen = end, now
+	l.end, l.lastSeen = end, now
 	l.last = platform.LeaseRecord{Holder: holder}
-	statemachine.Fire(l.machine, eventOther)
+	statemachine.Fire(l.machine, eventOtherGranted)
 }
 
-// took takes the result of a read and reports whether to read on at once.
-func (l *Lease) took(page platform.Page, from int64, err error) bool {
+// handleRead applies the result of a read and reports whether to read again at once.
+func (l *Lease) handleRead(page platform.Page, from int64, err error) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var trimmed *platform.TrimmedError
@@ -94,41 +95,41 @@
 		return true
 	case errors.As(err, &status) && status.Status == http.StatusNotFound:
 		// Nobody has held the lease yet.
-		l.vacate(eventRead)
+		l.markVacant(eventRead)
 		return false
 	case err != nil:
 		return false
 	}
 	for _, rec := range page.Records {
-		l.observe(rec)
+		l.applyRecord(rec)
 	}
 	if l.end >= page.End {
-		l.vacate(eventRead)
+		l.markVacant(eventRead)
 	}
 	return len(page.Records) > 0 || page.End > from || !l.machine.Is(StateUnknown)
 }
 
-// observe takes the next record of the log.
-func (l *Lease) observe(rec platform.Record) {
+// applyRecord applies the next record of the log.
+func (l *Lease) applyRecord(rec platform.Record) {
 	if rec.Offset < l.end {
 		return
 	}
 	l.end = rec.Offset + 1
-	lease, err := platform.DecodeLease(rec)
+	record, err := platform.DecodeLease(rec)
 	if err != nil {
 		l.log.WithError(err).WithField("offset", rec.Offset).Error("malformed lease record skipped")
 		return
 	}
-	l.last = lease
-	l.seen = clock.Now()
-	if l.wrote(lease) {
-		l.uncertain = time.Time{}
+	l.last = record
+	l.lastSeen = clock.Now()
+	if l.isOwn(record) {
+		l.unconfirmedSince = time.Time{}
 		return
 	}
 	held := l.machine.Is(StateHeld)
 	before := l.machine.Current()
-	statemachine.Fire(l.machine, eventOther)
+	statemachine.Fire(l.machine, eventOtherGranted)
 	if held || before != l.machine.Current() {
-		l.log.WithFields(logrus.Fields{"lease": l.Purpose, "holder": lease.Holder, "offset": rec.Offset, "held_here_before": held}).Info("lease granted to another host")
+		l.log.WithFields(logrus.Fields{"lease": l.Purpose, "holder": record.Holder, "offset": rec.Offset, "held_here_before": held}).Info("lease granted to another host")
 	}
 }
--- a/internal/rollout/lease.go
+++ b/internal/rollout/lease.go
@@ -1,6 +1,7 @@
-// Package rollout moves replicas to the weights version that operators want. One
-// host at a time gives the orders, by a lease on the platform's store; the offset
-// of the lease's first record is the fencing token of its orders.
+// Package rollout brings replicas to the weights version that operators want. One host at
+// a time, the holder of a lease in the platform's store, sends the load orders. The lease
+// is a log; the offset of the record that took it, plus one, is the fencing token of the
+// orders.
 package rollout
 
 import (
@@ -17,37 +18,37 @@
 	"github.com/briarlink/briarlink/platform"
 )
 
-// Log is what the lease needs of the store.
+// Log is the part of the store that a lease uses.
 type Log interface {
 	Read(ctx context.Context, topic string, from int64, wait time.Duration) (platform.Page, error)
 	Append(ctx context.Context, topic string, rec platform.Record, at int64) (int64, error)
 }
 
-// States of the lease as one host sees it.
+// States of a lease from the point of view of one host.
 const (
-	// StateUnknown: the log has not been read to its end.
+	// StateUnknown: the log has not yet been read to its end.
 	StateUnknown = "unknown"
 	// StateFree: nobody holds the lease.
 	StateFree = "free"
-	// StateOther: another host holds it.
+	// StateOther: another host holds the lease.
 	StateOther = "other"
-	// StateHeld: this host holds it.
+	// StateHeld: this host holds the lease.
 	StateHeld = "held"
 )
 
 const (
-	eventRead  = "read"
-	eventOther = "granted to another"
-	eventGrant = "granted"
-	eventEnd   = "ended"
+	eventRead         = "read"
+	eventOtherGranted = "granted to another"
+	eventGranted      = "granted"
+	eventEnded        = "ended"
 )
 
 func newLeaseMachine() *fsm.FSM {
 	return fsm.NewFSM(StateUnknown, fsm.Events{
 		{Name: eventRead, Src: []string{StateUnknown}, Dst: StateFree},
-		{Name: eventOther, Src: []string{StateUnknown, StateFree, StateOther, StateHeld}, Dst: StateOther},
-		{Name: eventGrant, Src: []string{StateFree}, Dst: StateHeld},
-		{Name: eventEnd, Src: []string{StateOther, StateHeld}, Dst: StateFree},
+		{Name: eventOtherGranted, Src: []string{StateUnknown, StateFree, StateOther, StateHeld}, Dst: StateOther},
+		{Name: eventGranted, Src: []string{StateFree}, Dst: StateHeld},
+		{Name: eventEnded, Src: []string{StateOther, StateHeld}, Dst: StateFree},
 	}, fsm.Callbacks{})
 }
 
@@ -55,75 +56,79 @@
 func Diagram() string { return statemachine.Diagram(newLeaseMachine()) }
 
 const (
-	// orderShare of the lease's time after a renewal is when orders are given, so
-	// that the last order of a holder lies well before its successor's first.
-	orderShare = 0.5
-	// renewShare of the lease's time is when it is renewed: two renewals may fail
-	// before orders stop.
-	renewShare = 0.25
-	// takeOverMargin is kept after another holder's lease has ended, for orders
-	// that are on their way.
-	takeOverMargin = 300 * time.Millisecond
+	// validShare is the part of the lease's duration, counted from a renewal, in which
+	// orders may be sent, so that the last order of a holder comes well before the first
+	// one of its successor.
+	validShare = 0.5
+	// renewalShare is the part of the lease's duration after which it is renewed: two
+	// renewals may fail before orders stop.
+	renewalShare = 0.25
+	// takeoverMargin is the wait after the end of another holder's lease, for orders that
+	// are still in flight.
+	takeoverMargin = 300 * time.Millisecond
 )
 
-// Lease is a lease on the right to give orders. Hosts that may take it follow its log, and judge by
-// their own monotonic clocks. It is safe for concurrent use; mu is its only lock and is
-// not held over a call.
+// Lease is the exclusive right to send orders, for a limited time. Hosts that may take it
+// follow its log and measure its time by their own monotonic clocks. It is safe for
+// concurrent use; mu is its only lock and is not held during a call to the store.
 type Lease struct {
 	store Log
 	log   *logrus.Logger
-	// Topic is the store's topic of the lease's log; it is set before use.
+	// Topic is the topic of the lease's log in the store; it is set before use.
 	Topic string
-	// Purpose says in log lines what orders it is for; it is set before use.
+	// Purpose names, in log messages, what the lease is for; it is set before use.
 	Purpose     string
 	holder      string
 	incarnation uint64
 	ttl         time.Duration
-	// Follows reports whether this host may come to need the lease soon; others need
-	// not read its log. It is set before use.
+	// Follows reports whether this host may soon take the lease; other hosts need not read
+	// its log. It is set before use.
 	Follows func() bool
 
 	mu      sync.Mutex
 	machine *fsm.FSM
-	// end is the first offset not read.
+	// end is the first offset not yet read.
 	end int64
-	// last is the newest record, first seen at seen.
-	last platform.LeaseRecord
-	seen time.Time
-	// renewed is when the last successful grant or renewal was sent.
+	// last is the newest record, or the newest holder by its own report, received at
+	// lastSeen.
+	last     platform.LeaseRecord
+	lastSeen time.Time
+	// renewed is when the append of the last successful grant or renewal was sent.
 	renewed time.Time
 	fencing int64
-	// fromOther is whether another process held the lease before this one took it.
-	fromOther bool
-	// heard is when the holder itself last told of the lease.
-	heard time.Time
-	// vacant is since when nobody has held the lease, in StateFree.
-	vacant time.Time
-	// uncertain is set while an append without an answer may yet show on the log.
-	uncertain time.Time
-	// reread ends the read that waits, whose answer may have been lost.
-	reread context.CancelFunc
+	// tookFromOther is whether another process held the lease before this one.
+	tookFromOther bool
+	// holderLastSeen is when the holder itself last reported the lease.
+	holderLastSeen time.Time
+	// vacantSince is, in StateFree, since when nobody has held the lease.
+	vacantSince time.Time
+	// unconfirmedSince is when an append was sent whose outcome is still to be read from the
+	// log, or zero.
+	unconfirmedSince time.Time
+	// cancelRead cancels the read in progress, whose answer may have been lost.
+	cancelRead context.CancelFunc
 }
 
-// NewLease returns the lease for one process of a host.
+// NewLease returns the lease as one process of a host sees it. It lasts for ttl after each
+// renewal.
 func NewLease(store Log, log *logrus.Logger, holder string, incarnation uint64, ttl time.Duration) *Lease {
 	return &Lease{store: store, log: log, Topic: platform.LeaseTopic, Purpose: "weights", holder: holder, incarnation: incarnation, ttl: ttl, Follows: func() bool { return true }, machine: newLeaseMachine()}
 }
 
-// wrote reports whether this process wrote a record.
-func (l *Lease) wrote(rec platform.LeaseRecord) bool {
+// isOwn reports whether this process wrote a record.
+func (l *Lease) isOwn(rec platform.LeaseRecord) bool {
 	return rec.Holder == l.holder && rec.Incarnation == l.incarnation
 }
 
-// Term returns the fencing token with which this process took the lease last, and whether
-// another one held it before.
-func (l *Lease) Term() (fencing int64, fromOther bool) {
+// Term returns the fencing token with which this process last took the lease, and whether
+// another process held it before.
+func (l *Lease) Term() (fencing int64, tookFromOther bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.fencing, l.fromOther
+	return l.fencing, l.tookFromOther
 }
 
-// HeldEnd returns the end of the log while this process holds the lease, or 0.
+// HeldEnd returns the end of the log if this process holds the lease, else 0.
 func (l *Lease) HeldEnd() int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -133,34 +138,34 @@
 	return l.end
 }
 
-// Try takes or renews the lease where that may be done now, and reports whether
-// orders may be given. It costs at most one call to the store.
+// Try takes or renews the lease if that is due, and reports whether orders may be sent. It
+// makes at most one call to the store.
 func (l *Lease) Try(ctx context.Context) bool {
 	now := clock.Now()
-	rec, at, ok := l.due(now)
+	rec, at, ok := l.nextAppend(now)
 	if !ok {
 		return l.Valid()
 	}
 	offset, err := l.store.Append(ctx, l.Topic, platform.Record{Value: rec.Encode()}, at)
-	l.appended(rec, offset, at, now, err)
+	l.handleAppend(rec, offset, at, now, err)
 	return l.Valid()
 }
 
-// due returns the record to append now, and where.
-func (l *Lease) due(now time.Time) (platform.LeaseRecord, int64, bool) {
+// nextAppend returns the record to append now, its offset, and whether one is due.
+func (l *Lease) nextAppend(now time.Time) (platform.LeaseRecord, int64, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.expire(now)
 	rec := platform.LeaseRecord{Holder: l.holder, Incarnation: l.incarnation}
-	if !l.uncertain.IsZero() && now.Sub(l.uncertain) < l.ttl {
-		// The last append may still take effect; another one at the same place
-		// would be refused then, and would show nothing.
+	if !l.unconfirmedSince.IsZero() && now.Sub(l.unconfirmedSince) < l.ttl {
+		// The last append may still take effect; another one at the same offset would then
+		// be refused, and would not tell who holds the lease.
 		return rec, 0, false
 	}
 	switch {
 	case l.machine.Is(StateFree):
 		return rec, l.end, true
-	case l.machine.Is(StateHeld) && now.Sub(l.renewed) > scale(l.ttl, renewShare):
+	case l.machine.Is(StateHeld) && now.Sub(l.renewed) > scaled(l.ttl, renewalShare):
 		rec.Fencing = l.fencing
 		return rec, l.end, true
 	default:
@@ -168,26 +173,26 @@
 	}
 }
 
-// expire ends a lease that was not renewed.
+// expire ends the lease if its holder did not renew it in time.
 func (l *Lease) expire(now time.Time) {
 	switch {
 	case l.machine.Is(StateHeld) && now.Sub(l.renewed) > l.ttl:
 		l.log.WithFields(logrus.Fields{"lease": l.Purpose, "fencing": l.fencing}).Warn("lease ended without a renewal")
-		l.vacate(eventEnd)
-	case l.machine.Is(StateOther) && now.Sub(l.seen) > l.ttl+takeOverMargin:
-		l.vacate(eventEnd)
+		l.markVacant(eventEnded)
+	case l.machine.Is(StateOther) && now.Sub(l.lastSeen) > l.ttl+takeoverMargin:
+		l.markVacant(eventEnded)
 	}
 }
 
-// vacate notes that nobody holds the lease, unless the event says nothing new.
-func (l *Lease) vacate(event string) {
+// markVacant records that nobody holds the lease, if the event applies in the current state.
+func (l *Lease) markVacant(event string) {
 	if statemachine.Fire(l.machine, event) {
-		l.vacant = clock.Now()
+		l.vacantSince = clock.Now()
 	}
 }
 
-// VacantSince returns since when nobody has held the lease, as far as this host knows, or
-// zero.
+// VacantSince returns since when, as far as this host knows, nobody has held the lease, or
+// zero if somebody may hold it.
 func (l *Lease) VacantSince(now time.Time) time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -195,75 +200,76 @@
 	if !l.machine.Is(StateFree) {
 		return time.Time{}
 	}
-	return l.vacant
+	return l.vacantSince
 }
 
-func (l *Lease) appended(rec platform.LeaseRecord, offset, at int64, sent time.Time, err error) {
+func (l *Lease) handleAppend(rec platform.LeaseRecord, offset, at int64, sent time.Time, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if err != nil {
-		l.appendFailed(err, sent)
+		l.handleAppendError(err, sent)
 		return
 	}
-	l.uncertain = time.Time{}
+	l.unconfirmedSince = time.Time{}
 	if l.machine.Is(StateOther) || offset != at {
-		// Another record was read meanwhile: the grant is behind it.
+		// Another host's record was read meanwhile and comes before this one, which
+		// therefore grants nothing.
 		return
 	}
 	l.end = max(l.end, offset+1)
-	before := l.last
-	l.last, l.seen, l.renewed = rec, clock.Now(), sent
+	previous := l.last
+	l.last, l.lastSeen, l.renewed = rec, clock.Now(), sent
 	if rec.Fencing == 0 {
-		l.fromOther = before.Holder != "" && !l.wrote(before)
+		l.tookFromOther = previous.Holder != "" && !l.isOwn(previous)
 		// Offsets begin at 0, fencing tokens at 1.
 		l.fencing = offset + 1
-		statemachine.Fire(l.machine, eventGrant)
+		statemachine.Fire(l.machine, eventGranted)
 		l.log.WithFields(logrus.Fields{"lease": l.Purpose, "fencing": l.fencing}).Info("lease taken")
 	}
 }
 
-func (l *Lease) appendFailed(err error, sent time.Time) {
+func (l *Lease) handleAppendError(err error, sent time.Time) {
 	var status *platform.StatusError
 	switch {
 	case errors.Is(err, platform.ErrConflict):
 		if l.machine.Is(StateHeld) {
 			l.log.WithFields(logrus.Fields{"lease": l.Purpose, "fencing": l.fencing}).Warn("lease lost: the log has another end")
-			l.vacate(eventEnd)
+			l.markVacant(eventEnded)
 		}
-		// What stands there is read before another try. A read that waits for it all the
-		// same has lost its answer.
-		l.uncertain = sent
-		if l.reread != nil {
-			l.reread()
+		// The conflicting record is to be read before the next append. A read that still
+		// waits for it has lost its answer, and is sent again.
+		l.unconfirmedSince = sent
+		if l.cancelRead != nil {
+			l.cancelRead()
 		}
 	case errors.As(err, &status):
-		// Refused: nothing was done.
+		// The store refused the append: it has no effect.
 	default:
-		l.uncertain = sent
+		l.unconfirmedSince = sent
 		l.log.WithError(err).WithField("lease", l.Purpose).Warn("append to the lease's log without an answer")
 	}
 }
 
-// Valid reports whether orders may be given now.
+// Valid reports whether orders may be sent now.
 func (l *Lease) Valid() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.machine.Is(StateHeld) && clock.Since(l.renewed) < scale(l.ttl, orderShare)
+	return l.machine.Is(StateHeld) && clock.Since(l.renewed) < scaled(l.ttl, validShare)
 }
 
-// Fencing returns the fencing token of orders.
+// Fencing returns the fencing token that orders carry.
 func (l *Lease) Fencing() int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.fencing
 }
 
-// Holder returns the last known holder, its fencing token and whether it is this
-// process.
+// Holder returns the last known holder, its fencing token, and whether this process holds
+// the lease now.
 func (l *Lease) Holder() (holder string, fencing int64, here bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.last.Holder, l.last.Fencing, l.machine.Is(StateHeld)
 }
 
-func scale(d time.Duration, by float64) time.Duration { return time.Duration(float64(d) * by) }
+func scaled(d time.Duration, by float64) time.Duration { return time.Duration(float64(d) * by) }
--- a/internal/rollout/lease_test.go
+++ b/internal/rollout/lease_test.go
@@ -28,7 +28,7 @@
 
 var errLost = errors.New("no answer")
 
-// fakeLog is the lease's topic, with faults for each host.
+// fakeLog is the log of the lease in the store.
 type fakeLog struct {
 	mu      sync.Mutex
 	records []platform.Record
@@ -53,14 +53,14 @@
 	return rec.Offset, nil
 }
 
-func (f *fakeLog) refused() int {
+func (f *fakeLog) refusedAppends() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.conflicts
 }
 
-// view is one host's way to the log.
-type view struct {
+// logClient is one host's access to the log, with its faults.
+type logClient struct {
 	log *fakeLog
 
 	mu sync.Mutex
@@ -68,47 +68,48 @@
 }
 
 type faults struct {
-	// down refuses every call; lossy loses answers of appends; late carries an
-	// append out after a delay; swallows lets reads that wait go without an answer.
-	down     bool
-	lossy    bool
-	late     time.Duration
-	swallows bool
+	// down fails every call; lossy executes appends but loses their answers; late executes
+	// an append after a delay, without an answer; dropsReads loses the answers of reads
+	// that wait for a record.
+	down       bool
+	lossy      bool
+	late       time.Duration
+	dropsReads bool
 }
 
-func (v *view) set(f faults) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	v.faults = f
+func (c *logClient) set(f faults) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.faults = f
 }
 
-func (v *view) now() faults {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	return v.faults
+func (c *logClient) currentFaults() faults {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.faults
 }
 
-func (v *view) Read(ctx context.Context, _ string, from int64, wait time.Duration) (platform.Page, error) {
+func (c *logClient) Read(ctx context.Context, _ string, from int64, wait time.Duration) (platform.Page, error) {
 	deadline := time.After(wait)
 	for {
-		if v.now().down {
+		if c.currentFaults().down {
 			return platform.Page{}, errLost
 		}
-		v.log.mu.Lock()
-		changed := v.log.changed
-		end := int64(len(v.log.records))
+		c.log.mu.Lock()
+		changed := c.log.changed
+		end := int64(len(c.log.records))
 		var records []platform.Record
 		if from < end {
-			records = append(records, v.log.records[from:]...)
+			records = append(records, c.log.records[from:]...)
 		}
-		v.log.mu.Unlock()
+		c.log.mu.Unlock()
 		if len(records) > 0 || wait == 0 {
 			return platform.Page{Records: records, End: end}, nil
 		}
 		select {
 		case <-changed:
-			if v.now().swallows {
-				return v.swallow(ctx, deadline)
+			if c.currentFaults().dropsReads {
+				return c.dropRead(ctx, deadline)
 			}
 		case <-deadline:
 			wait = 0
@@ -118,8 +119,8 @@
 	}
 }
 
-// swallow ends a read whose answer is lost when its caller gives it up.
-func (v *view) swallow(ctx context.Context, deadline <-chan time.Time) (platform.Page, error) {
+// dropRead waits until the caller of a read whose answer is lost gives up.
+func (c *logClient) dropRead(ctx context.Context, deadline <-chan time.Time) (platform.Page, error) {
 	select {
 	case <-deadline:
 		return platform.Page{}, errLost
@@ -128,9 +129,9 @@
 	}
 }
 
-func (v *view) Append(_ context.Context, _ string, rec platform.Record, at int64) (int64, error) {
+func (c *logClient) Append(_ context.Context, _ string, rec platform.Record, at int64) (int64, error) {
 	time.Sleep(5 * time.Millisecond)
-	f := v.now()
+	f := c.currentFaults()
 	switch {
 	case f.down:
 		return 0, errLost
@@ -138,20 +139,20 @@
 		late := f.late
 		go func() {
 			time.Sleep(late)
-			_, _ = v.log.add(rec, at)
+			_, _ = c.log.add(rec, at)
 		}()
 		return 0, errLost
 	case f.lossy:
-		_, _ = v.log.add(rec, at)
+		_, _ = c.log.add(rec, at)
 		return 0, errLost
 	default:
-		return v.log.add(rec, at)
+		return c.log.add(rec, at)
 	}
 }
 
-// TestOneHostGivesOrders lets hosts want the lease at any time while calls fail,
-// answers are lost and appends take effect late. Orders of two hosts never lie
-// closer together than the successor's wait, and fencing tokens only grow.
+// TestOneHostGivesOrders lets all hosts try to take the lease at any time while calls fail,
+// answers are lost and appends take effect late. It checks that orders of two hosts are at
+// least half a lease apart, and that fencing tokens never decrease.
 func TestOneHostGivesOrders(t *testing.T) {
 	const hosts = 3
 	rapid.Check(t, func(rt *rapid.T) {
@@ -175,14 +176,14 @@
 			ctx, cancel := context.WithCancel(context.Background())
 			var wg sync.WaitGroup
 			var leases [hosts]*Lease
-			var views [hosts]*view
+			var clients [hosts]*logClient
 			var frozen [hosts]atomic.Bool
 			var lastOrder time.Time
 			lastHost, lastFencing := -1, int64(0)
 			var mu sync.Mutex
 			for i := range hosts {
-				views[i] = &view{log: log}
-				leases[i] = NewLease(views[i], quietLog(), fmt.Sprint("host-", i), uint64(i+1), testTTL)
+				clients[i] = &logClient{log: log}
+				leases[i] = NewLease(clients[i], quietLog(), fmt.Sprint("host-", i), uint64(i+1), testTTL)
 				wg.Go(func() { leases[i].Follow(ctx) })
 				wg.Go(func() {
 					for ctx.Err() == nil {
@@ -208,7 +209,7 @@
 				if s.fault == "late" {
 					f.late = 2 * time.Second
 				}
-				views[s.host].set(f)
+				clients[s.host].set(f)
 				frozen[s.host].Store(s.fault == "frozen")
 				time.Sleep(s.run)
 			}
@@ -222,14 +223,15 @@
 	})
 }
 
-// TestLeaseIsTakenOver within the time that new weights leave.
+// TestLeaseIsTakenOver checks that another host takes the lease over within a second after
+// it has ended, so that new weights are still rolled out in time.
 func TestLeaseIsTakenOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := newFakeLog()
 		ctx, cancel := context.WithCancel(context.Background())
 		var wg sync.WaitGroup
-		first := NewLease(&view{log: log}, quietLog(), "a", 1, testTTL)
-		second := NewLease(&view{log: log}, quietLog(), "b", 2, testTTL)
+		first := NewLease(&logClient{log: log}, quietLog(), "a", 1, testTTL)
+		second := NewLease(&logClient{log: log}, quietLog(), "b", 2, testTTL)
 		wg.Go(func() { first.Follow(ctx) })
 		wg.Go(func() { second.Follow(ctx) })
 		synctest.Wait()
@@ -255,14 +257,15 @@
 	})
 }
 
-// TestHoldersWordSparesReads, and its silence ends that.
-func TestHoldersWordSparesReads(t *testing.T) {
+// TestHolderReportsReplaceReads checks that a host which receives reports from the holder
+// does not take the lease, and takes it over once the reports stop.
+func TestHolderReportsReplaceReads(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := newFakeLog()
 		ctx, cancel := context.WithCancel(context.Background())
 		var wg sync.WaitGroup
-		holder := NewLease(&view{log: log}, quietLog(), "a", 1, testTTL)
-		other := NewLease(&view{log: log}, quietLog(), "b", 2, testTTL)
+		holder := NewLease(&logClient{log: log}, quietLog(), "a", 1, testTTL)
+		other := NewLease(&logClient{log: log}, quietLog(), "b", 2, testTTL)
 		wg.Go(func() { holder.Follow(ctx) })
 		wg.Go(func() { other.Follow(ctx) })
 		synctest.Wait()
@@ -275,7 +278,7 @@
 			time.Sleep(100 * time.Millisecond)
 		}
 		if name, _, here := other.Holder(); name != "a" || here {
-			t.Errorf("the other host thinks that %q holds it", name)
+			t.Errorf("the other host has a record of %q as the holder", name)
 		}
 		began := time.Now()
 		for !other.Try(ctx) {
@@ -289,28 +292,28 @@
 	})
 }
 
-// TestSwallowedReadDoesNotHideTheLeasesLog: the store swallowed a read that waits, and the
-// holder renewed the lease and died before it told of that. The next host then tries to
-// take the lease where the log no longer ends; it must not wait for the read to time out
-// before it looks again.
-func TestSwallowedReadDoesNotHideTheLeasesLog(t *testing.T) {
+// TestLostReadAnswerDoesNotHideLeaseRecords guards against a host waiting for a read to time
+// out before it reads the log again: the answer to the read was lost, and the holder renewed
+// the lease and crashed before it reported that. The append of the next host then conflicts,
+// as the log has grown.
+func TestLostReadAnswerDoesNotHideLeaseRecords(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := newFakeLog()
 		ctx, cancel := context.WithCancel(context.Background())
 		var wg sync.WaitGroup
-		way := &view{log: log}
-		holder := NewLease(&view{log: log}, quietLog(), "a", 1, testTTL)
-		other := NewLease(way, quietLog(), "b", 2, testTTL)
+		client := &logClient{log: log}
+		holder := NewLease(&logClient{log: log}, quietLog(), "a", 1, testTTL)
+		other := NewLease(client, quietLog(), "b", 2, testTTL)
 		wg.Go(func() { holder.Follow(ctx) })
 		wg.Go(func() { other.Follow(ctx) })
 		synctest.Wait()
 		holder.Try(ctx)
 		synctest.Wait()
-		way.set(faults{swallows: true})
+		client.set(faults{dropsReads: true})
 		time.Sleep(time.Second)
 		holder.Try(ctx)
 		synctest.Wait()
-		way.set(faults{})
+		client.set(faults{})
 		began := time.Now()
 		for !other.Try(ctx) && time.Since(began) < time.Minute {
 			time.Sleep(50 * time.Millisecond)
--- a/internal/rollout/loader.go
+++ b/internal/rollout/loader.go
@@ -13,62 +13,73 @@
 	"github.com/briarlink/briarlink/platform"
 )
 
-// Engine gives orders to replicas.
+// Engine sends requests for reports and load orders to replicas.
 type Engine interface {
 	Report(ctx context.Context, address, id string) (platform.EngineReport, error)
 	Order(ctx context.Context, address string, o platform.LoadOrder) (platform.OrderResult, error)
 }
 
-// Replicas is what the loader needs of the table of backend servers.
+// Replicas is the part of the table of backend servers that the loader uses.
 type Replicas interface {
 	Servers(now time.Time) []replica.Server
-	// Lagging returns those that lack wanted weights.
+	// Lagging returns the servers that have outdated weights.
 	Lagging(now time.Time) []replica.Server
+	// Wanted returns the newest version of a model that operators want, or 0.
 	Wanted(model string) int64
+	// Holds records weights that a server holds, unless newer ones are recorded.
 	Holds(id, model string, version int64) bool
-	HoldsOlder(id, model string, believed, version int64) bool
+	// HoldsOlder records that a server reports older weights than the assumed ones, unless
+	// other weights have been recorded since. It reports whether it did.
+	HoldsOlder(id, model string, assumed, version int64) bool
+	// Loading marks a server as loading, so that it gets no requests until then.
 	Loading(id string, until time.Time)
+	// Waiting returns how many requests of all hosts wait at a server for their first event.
 	Waiting(id string, now time.Time) int
+	// Unsure returns the servers that have refused requests for the weights they were assumed
+	// to hold, and whose weights are to be verified.
 	Unsure(now time.Time) []replica.Server
 }
 
 const (
-	// tick is how often the wanted weights are compared with the replicas'.
-	tick = 60 * time.Millisecond
-	// callTimeout bounds a report or an order.
+	// planInterval is how often the weights of the replicas are compared with those wanted.
+	planInterval = 60 * time.Millisecond
+	// callTimeout bounds one call to a replica, for a report or with a load order.
 	callTimeout = 700 * time.Millisecond
-	// reportInterval is how often a loading replica is asked; reports are dear, and
-	// are themselves some hundred milliseconds old.
-	reportInterval = 150 * time.Millisecond
-	// firstReport is the least time that loading takes.
-	firstReport = 300 * time.Millisecond
-	// loadTimeout is when an order is given up on and judged anew.
+	// pollInterval is how often a loading replica is asked for a report. Reports are
+	// expensive, and some hundred milliseconds old when they arrive.
+	pollInterval = 150 * time.Millisecond
+	// minLoadTime is the shortest time that loading takes; the first report is requested
+	// after it.
+	minLoadTime = 300 * time.Millisecond
+	// loadTimeout bounds an attempt to load a replica; the next plan decides on it again.
 	loadTimeout = 4 * time.Second
-	// resendAfter is how long an order without an answer is waited for.
-	resendAfter = 900 * time.Millisecond
-	// maxFailures in a row end the wait for a replica: it is probably gone, and would
-	// keep others from being ordered.
-	maxFailures = 2
-	// refuseHold is how long after its mark a loading replica gets no requests
+	// lostOrderTimeout is how long to wait for a load order without an answer to take
+	// effect.
+	lostOrderTimeout = 900 * time.Millisecond
+	// maxReportFailures is how many failed reports in a row end the wait for a replica: it
+	// is probably gone, and would delay the load orders to others.
+	maxReportFailures = 2
+	// loadingMarkTTL is how long a replica that is marked as loading gets no requests,
 	// unless the mark is renewed.
-	refuseHold = 700 * time.Millisecond
-	// leastDrain is how long a replica gets no new requests before it is ordered:
-	// the word has to reach the other hosts, and what they sent meanwhile the
-	// replica. maxDrain bounds the wait for prompts that it is reading, which the
-	// order would throw away.
-	leastDrain = 60 * time.Millisecond
-	maxDrain   = 900 * time.Millisecond
-	drainPoll  = 30 * time.Millisecond
-	// retryPause follows an order that failed.
-	retryPause = 250 * time.Millisecond
-	// rankDelay separates hosts that could all take the lease.
+	loadingMarkTTL = 700 * time.Millisecond
+	// minDrain is how long a replica gets no new requests before its load order: the mark
+	// has to reach the other hosts, and the requests that they sent before that have to
+	// reach the replica. maxDrain bounds the wait for prefills in progress, whose work the
+	// order would discard.
+	minDrain          = 60 * time.Millisecond
+	maxDrain          = 900 * time.Millisecond
+	drainPollInterval = 30 * time.Millisecond
+	// retryDelay is the wait after a failed attempt before the next one.
+	retryDelay = 250 * time.Millisecond
+	// rankDelay separates the hosts that may take the lease, so that they do not all try at
+	// once.
 	rankDelay = 150 * time.Millisecond
-	// loadingPart is the part of a model's replicas that load at once where there are
-	// many: the weight store serves about a fifth of them at full speed, and a
-	// rollout then takes about as long as on a small site.
-	loadingPart = 5
-	// recentFor is how long other hosts are told of loaded weights.
-	recentFor = 3 * time.Second
+	// loadingDivisor sets how many replicas of a model load concurrently if there are many:
+	// their number divided by it. The weight store serves about a fifth of them at full
+	// speed, and a rollout then takes about as long as on a small site.
+	loadingDivisor = 5
+	// recentRetention is how long loaded weights are reported to other hosts.
+	recentRetention = 3 * time.Second
 )
 
 // Loader brings replicas to the wanted weights while this host holds the lease.
@@ -79,139 +90,143 @@
 	log      *logrus.Logger
 	holder   string
 	mode     platform.LoadMode
-	// atOnce is how many replicas load at once where there are few.
-	atOnce int
+	// concurrency is how many replicas load concurrently if there are few.
+	concurrency int
 	// Rank returns this host's place among those that could take the lease.
 	Rank func() int
-	// Changed is called when other hosts should be told at once.
+	// Changed is called when other hosts should be notified at once.
 	Changed func()
-	// Loaded is called when a replica holds new weights.
+	// Loaded is called when a replica is found to hold other weights than before.
 	Loaded func(id string)
-	// Ordered is called for each order that is sent.
+	// Ordered is called for each load order that is sent.
 	Ordered func()
 
 	mu sync.Mutex
-	// busy holds the replicas that are being ordered.
-	busy map[string]*try
-	// sequences holds the orders that each replica has accepted, where known.
-	sequences map[string]int64
-	// failed holds the replicas that this host tried in vain since it took the lease.
+	// attempts holds the attempts in progress, by replica.
+	attempts map[string]*attempt
+	// orderSequences holds how many orders each replica has accepted, if known.
+	orderSequences map[string]int64
+	// failed holds the replicas whose attempts failed since this host took the lease.
 	failed map[string]failure
-	// term is the fencing token of the lease as it was last taken, left the one with which
-	// it was left to another host.
-	term, left int64
-	// leftInVain is whether it was left as all replicas were tried in vain, resumed when
-	// this host last went on all the same, asked when it last asked replicas of that.
-	leftInVain     bool
-	resumed, asked time.Time
-	// patchy is whether a replica answered a part of this host's calls of one try, and left
-	// another one without an answer, since it took the lease.
-	patchy   bool
-	progress progress
-	// newest is the newest version that a replica of each model lacked.
-	newest map[string]int64
+	// leaseTerm is the fencing token with which this host last took the lease. yieldedTerm is
+	// the one with which it last yielded the lease: it lets the lease end, so that another
+	// host takes it.
+	leaseTerm, yieldedTerm int64
+	// yieldedAfterFailures is whether the lease was yielded because the attempts at all
+	// outdated replicas failed, resumedAt when this host last resumed after it had yielded,
+	// lastProbe when it last sent probes.
+	yieldedAfterFailures bool
+	resumedAt, lastProbe time.Time
+	// partlyReachable is whether, since this host took the lease, a replica answered some of
+	// the calls of one attempt and left others without an answer.
+	partlyReachable bool
+	progress        progress
+	// newestWanted is, for each model, the newest version that a replica was to load.
+	newestWanted map[string]int64
 
-	recent []loaded
-	// needed is since when some replica lacks the wanted weights.
-	needed time.Time
+	recentLoads []loadedWeights
+	// neededSince is since when some replica has outdated weights, or zero.
+	neededSince time.Time
 }
 
-// try is one to bring a replica to a version; answered is whether the replica answered
-// any call of it, silent whether it left any without an answer.
-type try struct{ answered, silent bool }
+// attempt is one attempt to load a version on a replica: answered is whether the replica
+// answered any of its calls, unanswered whether it left any without an answer.
+type attempt struct{ answered, unanswered bool }
 
-type loaded struct {
+type loadedWeights struct {
 	id, model string
 	version   int64
 	at        time.Time
 }
 
-// NewLoader returns a loader that orders up to atOnce replicas at a time.
-func NewLoader(lease *Lease, engine Engine, replicas Replicas, log *logrus.Logger, holder string, mode platform.LoadMode, atOnce int) *Loader {
+// NewLoader returns a loader that loads up to concurrency replicas at a time if there are
+// few of them.
+func NewLoader(lease *Lease, engine Engine, replicas Replicas, log *logrus.Logger, holder string, mode platform.LoadMode, concurrency int) *Loader {
 	return &Loader{
-		lease: lease, engine: engine, replicas: replicas, log: log, holder: holder, mode: mode, atOnce: atOnce,
+		lease: lease, engine: engine, replicas: replicas, log: log, holder: holder, mode: mode, concurrency: concurrency,
 		Rank: func() int { return 0 }, Changed: func() {}, Loaded: func(string) {}, Ordered: func() {},
-		busy: map[string]*try{}, sequences: map[string]int64{}, failed: map[string]failure{}, newest: map[string]int64{},
+		attempts: map[string]*attempt{}, orderSequences: map[string]int64{}, failed: map[string]failure{}, newestWanted: map[string]int64{},
 	}
 }
 
-// Run works until ctx ends.
+// Run loads outdated replicas until ctx is done.
 func (l *Loader) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	clock.Every(ctx, tick, func() {
+	clock.Every(ctx, planInterval, func() {
 		now := clock.Now()
-		behind := l.behind()
-		for _, t := range l.plan(ctx, behind, now) {
+		outdated := l.outdated()
+		for _, t := range l.plan(ctx, outdated, now) {
 			wg.Go(func() { l.load(ctx, t) })
 		}
-		for _, t := range l.toAsk(behind, now) {
-			wg.Go(func() { l.ask(ctx, t) })
+		for _, t := range l.replicasToProbe(outdated, now) {
+			wg.Go(func() { l.probe(ctx, t) })
 		}
 	})
 }
 
-// target is a replica that is to load a version.
-type target struct {
+// loadTarget is a replica and the version that it is to load.
+type loadTarget struct {
 	server  replica.Server
 	model   string
 	version int64
 }
 
-// plan returns the replicas to order now and marks them as busy.
-func (l *Loader) plan(ctx context.Context, behind []target, now time.Time) []target {
+// plan returns the replicas to load now and records an attempt for each. It takes or renews
+// the lease if it is this host's turn.
+func (l *Loader) plan(ctx context.Context, outdated []loadTarget, now time.Time) []loadTarget {
 	held := l.lease.HeldEnd() != 0
 	l.mu.Lock()
-	if len(behind) == 0 {
-		l.progress = progress{at: now}
+	if len(outdated) == 0 {
+		l.progress = progress{since: now}
 	}
-	if len(behind) == 0 && len(l.busy) == 0 {
-		l.needed = time.Time{}
+	if len(outdated) == 0 && len(l.attempts) == 0 {
+		l.neededSince = time.Time{}
 		l.mu.Unlock()
 		return nil
 	}
-	if l.needed.IsZero() {
-		l.needed = now
+	if l.neededSince.IsZero() {
+		l.neededSince = now
 	}
-	needed := l.needed
-	left := l.leaves(behind, held, now)
+	neededSince := l.neededSince
+	yielded := l.updateYield(outdated, held, now)
 	l.mu.Unlock()
-	if !l.due(needed, left, now) || !l.lease.Try(ctx) {
+	if !l.isTurn(neededSince, yielded, now) || !l.lease.Try(ctx) {
 		return nil
 	}
-	l.noteTerm(now)
-	return l.take(behind, l.room(behind), now)
+	l.resetForNewTerm(now)
+	return l.startAttempts(outdated, l.maxConcurrent(outdated), now)
 }
 
-// room returns how many replicas may load at once: the setting, more where there
-// are many, and never more than half of those of a model, so that the others
-// serve meanwhile.
-func (l *Loader) room(behind []target) int {
+// maxConcurrent returns how many replicas may load concurrently: as many as configured, more
+// if there are many replicas, and no more than half of those of a model, so that the others
+// continue to serve. One may always load.
+func (l *Loader) maxConcurrent(outdated []loadTarget) int {
 	counts := map[string]int{}
 	for _, s := range l.replicas.Servers(clock.Now()) {
 		for model := range s.Weights {
 			counts[model]++
 		}
 	}
-	room := 0
-	for _, t := range behind {
+	limit := 0
+	for _, t := range outdated {
 		n := counts[t.model]
-		room = max(room, min(max(l.atOnce, n/loadingPart), max(1, n/2)))
+		limit = max(limit, min(max(l.concurrency, n/loadingDivisor), max(1, n/2)))
 	}
-	return room
+	return limit
 }
 
-// behind returns the replicas without the wanted weights: those with the oldest first,
-// whose deadline is nearest, then those with the fewest requests, which are ready soonest.
-// Those that another host suspects come after them, and those that this host finds down
-// last: that may be wrong, and lasts until a request succeeds, which none does on old
-// weights.
-func (l *Loader) behind() []target {
-	var out []target
+// outdated returns the replicas without the wanted weights, in the order in which to load
+// them: first those with the oldest weights, whose deadline is nearest; among these, those
+// with the fewest requests, which are drained soonest. Replicas that another host suspects
+// come after all of them, and those that this host has marked down come last: the mark may
+// be wrong, and lasts until a request succeeds, which none does on outdated weights.
+func (l *Loader) outdated() []loadTarget {
+	var out []loadTarget
 	for _, s := range l.replicas.Lagging(clock.Now()) {
 		for model, version := range s.Weights {
 			if wanted := l.replicas.Wanted(model); wanted > version {
-				out = append(out, target{s, model, wanted})
+				out = append(out, loadTarget{s, model, wanted})
 			}
 		}
 	}
@@ -231,57 +246,58 @@
 	return out
 }
 
-// take returns those of the replicas behind for which there is room, and marks them as
-// busy. Those that were tried in vain come last, the one tried longest ago first: a few
-// that do not answer would keep the rest from being ordered.
-func (l *Loader) take(behind []target, room int, now time.Time) []target {
+// startAttempts returns the outdated replicas to load now, within the limit on concurrent
+// attempts, and records an attempt for each. Replicas whose last attempt failed come last,
+// the least recently tried first: otherwise a few that do not answer would keep the others
+// from being loaded.
+func (l *Loader) startAttempts(outdated []loadTarget, limit int, now time.Time) []loadTarget {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	sort.SliceStable(behind, func(i, j int) bool {
-		a, aFailed := l.failure(behind[i])
-		b, bFailed := l.failure(behind[j])
-		aFailed, bFailed = aFailed && !a.back, bFailed && !b.back
+	sort.SliceStable(outdated, func(i, j int) bool {
+		a, aFailed := l.lastFailure(outdated[i])
+		b, bFailed := l.lastFailure(outdated[j])
+		aFailed, bFailed = aFailed && !a.answersAgain, bFailed && !b.answersAgain
 		if !aFailed || !bFailed {
 			return !aFailed && bFailed
 		}
-		return a.at.Before(b.at)
+		return a.lastEnd.Before(b.lastEnd)
 	})
-	var out []target
-	for _, t := range behind {
-		if len(l.busy) >= room {
+	var out []loadTarget
+	for _, t := range outdated {
+		if len(l.attempts) >= limit {
 			break
 		}
-		if f, failed := l.failure(t); l.busy[t.server.ID] != nil || failed && !f.back && now.Sub(f.at) < retryPause {
+		if f, failed := l.lastFailure(t); l.attempts[t.server.ID] != nil || failed && !f.answersAgain && now.Sub(f.lastEnd) < retryDelay {
 			continue
 		}
-		l.busy[t.server.ID] = &try{}
+		l.attempts[t.server.ID] = &attempt{}
 		out = append(out, t)
 	}
 	return out
 }
 
-// Busy returns the replicas that are being ordered, by ID.
+// Busy returns the IDs of the replicas with an attempt in progress, sorted.
 func (l *Loader) Busy() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var out []string
-	for id := range l.busy {
+	for id := range l.attempts {
 		out = append(out, id)
 	}
 	sort.Strings(out)
 	return out
 }
 
-// Recent calls f for each replica that was loaded a moment ago.
+// Recent calls f for each replica that reported loaded weights within recentRetention.
 func (l *Loader) Recent(now time.Time, f func(id, model string, version int64)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	keep := l.recent[:0]
-	for _, r := range l.recent {
-		if now.Sub(r.at) < recentFor {
-			keep = append(keep, r)
+	recent := l.recentLoads[:0]
+	for _, r := range l.recentLoads {
+		if now.Sub(r.at) < recentRetention {
+			recent = append(recent, r)
 			f(r.id, r.model, r.version)
 		}
 	}
-	l.recent = keep
+	l.recentLoads = recent
 }
--- a/internal/rollout/loader_test.go
+++ b/internal/rollout/loader_test.go
@@ -16,40 +16,42 @@
 
 const testModel = "m"
 
-// fakeFleet is the replicas of one model, their orders and what hosts know.
+// fakeFleet is the replicas of one model, with the load orders that they get and the state
+// that hosts assume of them.
 type fakeFleet struct {
-	mu      sync.Mutex
-	actual  map[string]*fakeReplica
-	known   map[string]int64
-	wanted  int64
-	loading map[string]time.Time
-	waiting map[string]int
-	fault   string
-	// down replicas are thought so by the host, and answer nothing.
+	mu         sync.Mutex
+	actual     map[string]*fakeReplica
+	assumed    map[string]int64
+	wanted     int64
+	loading    map[string]time.Time
+	prefilling map[string]int
+	fault      string
+	// down replicas are marked down by the host, and answer no call.
 	down map[string]bool
-	// suspected are those that another host thinks down.
-	suspected map[string]bool
-	unsure    map[string]bool
-	atOnce    int
-	mostOnce  int
-	// thrown counts orders that a replica got while it was reading prompts.
-	thrown int
+	// suspected replicas are those that another host assumes to be down.
+	suspected  map[string]bool
+	unsure     map[string]bool
+	loadingNow int
+	maxLoading int
+	// harmfulOrders counts the orders that a replica got during prefills, and adds 1000 for
+	// each one that replaced weights by older ones.
+	harmfulOrders int
 }
 
 type fakeReplica struct {
 	version  int64
 	sequence int64
-	busy     bool
-	// started is the time of its start.
-	started int64
+	loading  bool
+	// startTime differs for each start of the replica.
+	startTime int64
 }
 
 func newFakeFleet(n int) *fakeFleet {
-	f := &fakeFleet{actual: map[string]*fakeReplica{}, known: map[string]int64{}, loading: map[string]time.Time{}, waiting: map[string]int{}, wanted: 1}
+	f := &fakeFleet{actual: map[string]*fakeReplica{}, assumed: map[string]int64{}, loading: map[string]time.Time{}, prefilling: map[string]int{}, wanted: 1}
 	for i := range n {
 		id := fmt.Sprint("i-", i)
 		f.actual[id] = &fakeReplica{version: 1}
-		f.known[id] = 1
+		f.assumed[id] = 1
 	}
 	return f
 }
@@ -64,8 +66,8 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var out []replica.Server
-	for id, version := range f.known {
-		out = append(out, replica.Server{ID: id, Address: id, Started: f.actual[id].started, Weights: map[string]int64{testModel: version}, Down: f.down[id], Suspected: f.suspected[id]})
+	for id, version := range f.assumed {
+		out = append(out, replica.Server{ID: id, Address: id, Started: f.actual[id].startTime, Weights: map[string]int64{testModel: version}, Down: f.down[id], Suspected: f.suspected[id]})
 	}
 	return out
 }
@@ -81,18 +83,18 @@
 func (f *fakeFleet) Holds(id, _ string, version int64) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	newer := f.known[id] < version
-	f.known[id] = max(f.known[id], version)
+	newer := f.assumed[id] < version
+	f.assumed[id] = max(f.assumed[id], version)
 	return newer
 }
 
-func (f *fakeFleet) HoldsOlder(id, _ string, believed, version int64) bool {
+func (f *fakeFleet) HoldsOlder(id, _ string, assumed, version int64) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.known[id] != believed {
+	if f.assumed[id] != assumed {
 		return false
 	}
-	f.known[id] = version
+	f.assumed[id] = version
 	return true
 }
 
@@ -105,7 +107,7 @@
 func (f *fakeFleet) Waiting(id string, _ time.Time) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.waiting[id]
+	return f.prefilling[id]
 }
 
 func (f *fakeFleet) Unsure(now time.Time) []replica.Server {
@@ -125,19 +127,19 @@
 	if f.down[address] {
 		return platform.EngineReport{}, errLost
 	}
-	return platform.EngineReport{Weights: map[string]int64{testModel: r.version}, Loading: r.busy, Sequence: r.sequence, Started: r.started}, nil
+	return platform.EngineReport{Weights: map[string]int64{testModel: r.version}, Loading: r.loading, Sequence: r.sequence, Started: r.startTime}, nil
 }
 
-// Order plays the fault in force: an answer that is lost, an order that is
-// carried out late, or one that never arrives.
+// Order simulates the current fault: an order that never arrives, one that is executed late,
+// or one whose answer is lost.
 func (f *fakeFleet) Order(_ context.Context, address string, o platform.LoadOrder) (platform.OrderResult, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.down[address] {
 		return platform.OrderLost, errLost
 	}
-	if f.waiting[address] > 0 {
-		f.thrown++
+	if f.prefilling[address] > 0 {
+		f.harmfulOrders++
 	}
 	switch f.fault {
 	case "lost":
@@ -146,49 +148,49 @@
 		time.AfterFunc(2500*time.Millisecond, func() {
 			f.mu.Lock()
 			defer f.mu.Unlock()
-			f.carryOut(address, o)
+			f.execute(address, o)
 		})
 		return platform.OrderLost, errLost
 	case "answer lost":
-		f.carryOut(address, o)
+		f.execute(address, o)
 		return platform.OrderLost, errLost
 	default:
-		return f.carryOut(address, o), nil
+		return f.execute(address, o), nil
 	}
 }
 
-func (f *fakeFleet) carryOut(address string, o platform.LoadOrder) platform.OrderResult {
+func (f *fakeFleet) execute(address string, o platform.LoadOrder) platform.OrderResult {
 	r := f.actual[address]
 	switch {
 	case r.version == o.Version:
 		return platform.OrderHolds
-	case r.busy || r.sequence != o.Sequence:
+	case r.loading || r.sequence != o.Sequence:
 		return platform.OrderConflict
 	}
 	r.sequence++
-	r.busy = true
-	start := r.started
-	f.atOnce++
-	f.mostOnce = max(f.mostOnce, f.atOnce)
+	r.loading = true
+	start := r.startTime
+	f.loadingNow++
+	f.maxLoading = max(f.maxLoading, f.loadingNow)
 	time.AfterFunc(600*time.Millisecond, func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		f.atOnce--
-		if r.started != start {
+		f.loadingNow--
+		if r.startTime != start {
 			return
 		}
 		if o.Version < r.version {
-			f.thrown += 1000
+			f.harmfulOrders += 1000
 		}
-		r.version, r.busy = o.Version, false
+		r.version, r.loading = o.Version, false
 	})
 	return platform.OrderAccepted
 }
 
-// roll starts a loader over the fleet and runs f beside it.
-func roll(fleet *fakeFleet, f func()) {
+// runLoader runs a loader for the fleet until f returns.
+func runLoader(fleet *fakeFleet, f func()) {
 	ctx, cancel := context.WithCancel(context.Background())
-	lease := NewLease(&view{log: newFakeLog()}, quietLog(), "a", 1, testTTL)
+	lease := NewLease(&logClient{log: newFakeLog()}, quietLog(), "a", 1, testTTL)
 	loader := NewLoader(lease, fleet, fleet, quietLog(), "a", platform.LoadQueue, 2)
 	var wg sync.WaitGroup
 	wg.Go(func() { lease.Follow(ctx) })
@@ -199,37 +201,38 @@
 	time.Sleep(10 * time.Second)
 }
 
-// TestReplicaThatStartsAgainWhileLoadingIsOrderedAnew: its count of orders began
-// anew and the one under way is void. Waited for to the end, it would stay on the
-// old weights for four seconds more.
-func TestReplicaThatStartsAgainWhileLoadingIsOrderedAnew(t *testing.T) {
+// TestReplicaRestartedWhileLoadingIsOrderedAgain checks that the wait for an order ends when
+// the replica restarts. Its count of orders then begins at zero and the order is void; if it
+// were waited for until its timeout, the replica would keep the old weights for four seconds
+// more.
+func TestReplicaRestartedWhileLoadingIsOrderedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fleet := newFakeFleet(1)
-		fleet.actual["i-0"].started = 1000
-		roll(fleet, func() {
+		fleet.actual["i-0"].startTime = 1000
+		runLoader(fleet, func() {
 			time.Sleep(time.Second)
 			fleet.set(func() { fleet.wanted = 2 })
-			for !fleet.loads("i-0") {
+			for !fleet.isLoading("i-0") {
 				time.Sleep(time.Millisecond)
 			}
-			fleet.set(func() { *fleet.actual["i-0"] = fakeReplica{version: 1, started: 2000} })
+			fleet.set(func() { *fleet.actual["i-0"] = fakeReplica{version: 1, startTime: 2000} })
 			time.Sleep(2500 * time.Millisecond)
-			if n := fleet.behind(); n != 0 {
-				t.Errorf("%d replicas lack the weights 2.5 s after the restart", n)
+			if n := fleet.outdatedCount(); n != 0 {
+				t.Errorf("%d replicas have outdated weights 2.5 s after the restart", n)
 			}
 		})
 	})
 }
 
-// loads reports whether a replica is loading weights.
-func (f *fakeFleet) loads(id string) bool {
+// isLoading reports whether a replica is loading weights.
+func (f *fakeFleet) isLoading(id string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.actual[id].busy
+	return f.actual[id].loading
 }
 
-// behind returns how many replicas lack the wanted weights.
-func (f *fakeFleet) behind() int {
+// outdatedCount returns how many replicas do not hold the wanted weights.
+func (f *fakeFleet) outdatedCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	n := 0
@@ -241,18 +244,18 @@
 	return n
 }
 
-// TestEveryReplicaIsBrought to the newest version, whatever becomes of orders, and
-// none ever goes back.
-func TestEveryReplicaIsBrought(t *testing.T) {
+// TestEveryReplicaReachesNewestVersion checks that all replicas reach the newest version
+// although orders get lost or are executed late, and that none returns to an older one.
+func TestEveryReplicaReachesNewestVersion(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var plan []string
 		for i := range rapid.IntRange(1, 5).Draw(rt, "steps") {
 			plan = append(plan, rapid.SampledFrom([]string{"", "lost", "late", "answer lost"}).Draw(rt, fmt.Sprint("fault", i)))
 		}
-		left, thrown := 0, 0
+		outdated, harmful := 0, 0
 		synctest.Test(t, func(*testing.T) {
 			fleet := newFakeFleet(4)
-			roll(fleet, func() {
+			runLoader(fleet, func() {
 				for _, fault := range plan {
 					fleet.set(func() { fleet.fault, fleet.wanted = fault, fleet.wanted+1 })
 					time.Sleep(1500 * time.Millisecond)
@@ -260,84 +263,86 @@
 				fleet.set(func() { fleet.fault = "" })
 				time.Sleep(12 * time.Second)
 			})
-			left, thrown = fleet.behind(), fleet.thrown
+			outdated, harmful = fleet.outdatedCount(), fleet.harmfulOrders
 		})
-		if left > 0 {
-			rt.Fatalf("%d replicas were left behind", left)
+		if outdated > 0 {
+			rt.Fatalf("%d replicas still have outdated weights", outdated)
 		}
-		if thrown >= 1000 {
+		if harmful >= 1000 {
 			rt.Fatal("a replica went back to older weights")
 		}
 	})
 }
 
-// TestPromptsAreReadBeforeAnOrder, but not waited for without end.
-func TestPromptsAreReadBeforeAnOrder(t *testing.T) {
+// TestPrefillsFinishBeforeLoadOrder checks that a load order waits for prefills in progress,
+// but not without limit.
+func TestPrefillsFinishBeforeLoadOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fleet := newFakeFleet(1)
-		fleet.waiting["i-0"] = 1
-		roll(fleet, func() {
+		fleet.prefilling["i-0"] = 1
+		runLoader(fleet, func() {
 			fleet.set(func() { fleet.wanted = 2 })
 			time.Sleep(500 * time.Millisecond)
-			if fleet.set(func() { fleet.waiting["i-0"] = 0 }); fleet.thrown > 0 {
-				t.Error("ordered while a prompt was being read")
+			if fleet.set(func() { fleet.prefilling["i-0"] = 0 }); fleet.harmfulOrders > 0 {
+				t.Error("order sent during a prefill")
 			}
 			time.Sleep(2 * time.Second)
-			if fleet.behind() > 0 {
-				t.Error("not ordered after the prompt was read")
+			if fleet.outdatedCount() > 0 {
+				t.Error("no order sent after the prefill")
 			}
-			fleet.set(func() { fleet.wanted, fleet.waiting["i-0"] = 3, 1 })
+			fleet.set(func() { fleet.wanted, fleet.prefilling["i-0"] = 3, 1 })
 			time.Sleep(4 * time.Second)
-			if fleet.behind() > 0 {
-				t.Error("a prompt that is never read held the order up")
+			if fleet.outdatedCount() > 0 {
+				t.Error("a prefill that never ends held up the order")
 			}
 		})
 	})
 }
 
-// TestSomeServeWhileOthersLoad: with two replicas one loads at a time.
+// TestSomeServeWhileOthersLoad checks that of two replicas one loads at a time.
 func TestSomeServeWhileOthersLoad(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fleet := newFakeFleet(2)
-		roll(fleet, func() {
+		runLoader(fleet, func() {
 			fleet.set(func() { fleet.wanted = 2 })
 			time.Sleep(8 * time.Second)
 		})
-		if fleet.behind() > 0 || fleet.mostOnce > 1 {
-			t.Errorf("%d left behind, %d at once", fleet.behind(), fleet.mostOnce)
+		if fleet.outdatedCount() > 0 || fleet.maxLoading > 1 {
+			t.Errorf("%d replicas outdated, %d loaded concurrently", fleet.outdatedCount(), fleet.maxLoading)
 		}
 	})
 }
 
-// TestDownReplicasHoldNobodyUp: others are ordered meanwhile, and they themselves
-// once they are back.
-func TestDownReplicasHoldNobodyUp(t *testing.T) {
+// TestDownReplicasDoNotDelayOthers checks that the other replicas are loaded meanwhile, and
+// those that were down once they are up again.
+func TestDownReplicasDoNotDelayOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fleet := newFakeFleet(6)
 		fleet.down = map[string]bool{"i-0": true, "i-1": true}
-		roll(fleet, func() {
+		runLoader(fleet, func() {
 			fleet.set(func() { fleet.wanted = 2 })
 			time.Sleep(3 * time.Second)
-			if left := fleet.behind(); left != 2 {
-				t.Errorf("%d left behind, want the two that are down", left)
+			if outdated := fleet.outdatedCount(); outdated != 2 {
+				t.Errorf("%d replicas outdated, want the two that are down", outdated)
 			}
 			fleet.set(func() { fleet.down = nil })
 			time.Sleep(3 * time.Second)
 		})
-		if fleet.behind() > 0 {
-			t.Errorf("%d left behind", fleet.behind())
+		if fleet.outdatedCount() > 0 {
+			t.Errorf("%d replicas outdated", fleet.outdatedCount())
 		}
 	})
 }
 
-// TestSuspectedReplicasComeLast, and they come: a suspicion may outlive its cause.
+// TestSuspectedReplicasComeLast checks that suspected replicas are loaded after the others.
+// They must be loaded too, since a suspicion may outlast its cause.
 func TestSuspectedReplicasComeLast(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fleet := newFakeFleet(6)
 		fleet.suspected = map[string]bool{"i-0": true, "i-1": true}
-		roll(fleet, func() {
+		runLoader(fleet, func() {
 			fleet.set(func() { fleet.wanted = 2 })
-			for fleet.behind() > 2 {
+			for fleet.outdatedCount() > 2 {
 				time.Sleep(10 * time.Millisecond)
 			}
 			fleet.set(func() {
@@ -347,29 +352,30 @@
 			})
 			time.Sleep(4 * time.Second)
 		})
-		if fleet.behind() > 0 {
-			t.Errorf("%d left behind", fleet.behind())
+		if fleet.outdatedCount() > 0 {
+			t.Errorf("%d replicas outdated", fleet.outdatedCount())
 		}
 	})
 }
 
-// TestFewLoadAtOnce: more would only take longer each.
+// TestFewLoadAtOnce checks that no more replicas load concurrently than configured: with
+// more, each load would only take longer.
 func TestFewLoadAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fleet := newFakeFleet(6)
-		roll(fleet, func() {
+		runLoader(fleet, func() {
 			fleet.set(func() { fleet.wanted = 2 })
 			time.Sleep(8 * time.Second)
 		})
-		if fleet.behind() > 0 || fleet.mostOnce > 2 {
-			t.Errorf("%d left behind, %d at once", fleet.behind(), fleet.mostOnce)
+		if fleet.outdatedCount() > 0 || fleet.maxLoading > 2 {
+			t.Errorf("%d replicas outdated, %d loaded concurrently", fleet.outdatedCount(), fleet.maxLoading)
 		}
 	})
 }
 
-// verified returns a loader that has looked, for a second, after a replica which refused
-// the weights it was believed to hold.
-func verified(t *testing.T, fleet *fakeFleet, unsure string) *Loader {
+// runVerify runs Verify for a second, with one replica that has refused requests for the
+// weights that it was assumed to hold, and returns the loader.
+func runVerify(t *testing.T, fleet *fakeFleet, unsure string) *Loader {
 	fleet.unsure = map[string]bool{unsure: true}
 	ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 	defer cancel()
@@ -378,40 +384,41 @@
 	return loader
 }
 
-// TestUnexpectedWeightsAreAskedFor: a replica carried out an order late, so that it
-// holds weights between those believed and those wanted.
-func TestUnexpectedWeightsAreAskedFor(t *testing.T) {
+// TestUnexpectedWeightsAreVerified checks that a replica which executed an order late is
+// found to hold weights between those assumed and those wanted, and that this is reported to
+// other hosts.
+func TestUnexpectedWeightsAreVerified(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fleet := newFakeFleet(2)
 		fleet.wanted = 3
 		fleet.actual["i-0"].version = 2
-		loader := verified(t, fleet, "i-0")
-		if fleet.known["i-0"] != 2 || fleet.known["i-1"] != 1 {
-			t.Errorf("believed: %v", fleet.known)
+		loader := runVerify(t, fleet, "i-0")
+		if fleet.assumed["i-0"] != 2 || fleet.assumed["i-1"] != 1 {
+			t.Errorf("assumed: %v", fleet.assumed)
 		}
-		told := map[string]int64{}
-		loader.Recent(time.Now(), func(id, _ string, version int64) { told[id] = version })
-		if told["i-0"] != 2 {
-			t.Errorf("other hosts are told %v", told)
+		reported := map[string]int64{}
+		loader.Recent(time.Now(), func(id, _ string, version int64) { reported[id] = version })
+		if reported["i-0"] != 2 {
+			t.Errorf("reported to other hosts: %v", reported)
 		}
 	})
 }
 
-// TestReplicaThatWentBackIsLoadedAgain: an order was carried out after a newer one, as one
-// that outlives a replica's start may be. The replica refuses requests for the weights that
-// it is believed to hold; its own report outweighs that belief, for otherwise nobody would
-// order it again.
-func TestReplicaThatWentBackIsLoadedAgain(t *testing.T) {
+// TestReplicaWithOlderWeightsIsLoadedAgain checks that a replica's own report of older weights
+// replaces the assumed ones. An order may be executed after a newer one, for example if it was
+// sent before a restart of the replica. The replica then refuses requests for the assumed
+// weights, and no host would send it another order.
+func TestReplicaWithOlderWeightsIsLoadedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fleet := newFakeFleet(2)
 		fleet.wanted = 3
 		for id := range fleet.actual {
-			fleet.actual[id].version, fleet.known[id] = 3, 3
+			fleet.actual[id].version, fleet.assumed[id] = 3, 3
 		}
 		fleet.actual["i-0"].version = 2
-		verified(t, fleet, "i-0")
-		if fleet.known["i-0"] != 2 || fleet.known["i-1"] != 3 {
-			t.Errorf("believed: %v", fleet.known)
+		runVerify(t, fleet, "i-0")
+		if fleet.assumed["i-0"] != 2 || fleet.assumed["i-1"] != 3 {
+			t.Errorf("assumed: %v", fleet.assumed)
 		}
 	})
 }
--- a/internal/rollout/order.go
+++ b/internal/rollout/order.go
@@ -11,33 +11,33 @@
 	"github.com/briarlink/briarlink/platform"
 )
 
-// load brings one replica to its target.
-func (l *Loader) load(ctx context.Context, t target) {
+// load makes one attempt to load a replica and logs the result.
+func (l *Loader) load(ctx context.Context, t loadTarget) {
 	ctx, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
 	began := clock.Now()
-	err := l.bring(ctx, t)
-	l.ended(t, err)
-	line := l.log.WithFields(logrus.Fields{
+	err := l.loadWeights(ctx, t)
+	l.endAttempt(t, err)
+	entry := l.log.WithFields(logrus.Fields{
 		"replica": t.server.ID, "model": t.model, "version": t.version,
 		"fencing": l.lease.Fencing(), "ms": clock.Since(began).Milliseconds(),
 	})
 	if err != nil {
-		line.WithError(err).Warn("weights not loaded")
+		entry.WithError(err).Warn("weights not loaded")
 		return
 	}
-	line.Info("weights loaded")
+	entry.Info("weights loaded")
 }
 
-// ended records how a try ended. One that the end of the lease cut says nothing of the
-// replica.
-func (l *Loader) ended(t target, err error) {
+// endAttempt records the result of an attempt. One that failed because the lease ended says
+// nothing about the replica.
+func (l *Loader) endAttempt(t loadTarget, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	answered := l.busy[t.server.ID].answered
-	delete(l.busy, t.server.ID)
+	answered := l.attempts[t.server.ID].answered
+	delete(l.attempts, t.server.ID)
 	if err == nil {
-		l.progress = progress{at: clock.Now()}
+		l.progress = progress{since: clock.Now()}
 		delete(l.failed, t.server.ID)
 		return
 	}
@@ -45,124 +45,128 @@
 		return
 	}
 	now := clock.Now()
-	f, again := l.failure(t)
+	f, again := l.lastFailure(t)
 	if !again {
-		f.since = now
+		f.firstEnd = now
 	}
-	f.at, f.version, f.answered, f.back = now, t.version, answered, false
+	f.lastEnd, f.version, f.answered, f.answersAgain = now, t.version, answered, false
 	l.failed[t.server.ID] = f
 }
 
-func (l *Loader) bring(ctx context.Context, t target) error {
+// loadWeights drains a replica, sends it a load order and waits until it holds the weights.
+func (l *Loader) loadWeights(ctx context.Context, t loadTarget) error {
 	l.drain(ctx, t)
-	sequence, known := l.sequence(t.server.ID)
+	sequence, known := l.orderSequence(t.server.ID)
 	if known {
 		result, err := l.order(ctx, t, sequence)
 		if err != nil {
 			return err
 		}
 		if result != platform.OrderConflict {
-			return l.await(ctx, t, sequence, result)
+			return l.awaitLoad(ctx, t, sequence, result)
 		}
-		// Another host has given orders since: only the replica knows how many.
+		// Another host has sent orders in the meantime: only the replica knows how many it
+		// has accepted.
 	}
 	report, err := l.report(ctx, t)
 	if err != nil {
 		return err
 	}
-	if l.holds(t, report) {
+	if l.recordIfLoaded(t, report) {
 		return nil
 	}
 	result, err := l.order(ctx, t, report.Sequence)
 	if err != nil {
 		return err
 	}
-	return l.await(ctx, t, report.Sequence, result)
+	return l.awaitLoad(ctx, t, report.Sequence, result)
 }
 
-// drain keeps new requests away from the replica until it has read the prompts
-// that it was sent.
-func (l *Loader) drain(ctx context.Context, t target) {
+// drain keeps new requests away from the replica until it has prefilled the prompts that it
+// was sent, within minDrain and maxDrain.
+func (l *Loader) drain(ctx context.Context, t loadTarget) {
 	began := clock.Now()
 	marked := time.Time{}
 	for ctx.Err() == nil {
-		if clock.Since(marked) > refuseHold/3 {
-			l.mark(t)
+		if clock.Since(marked) > loadingMarkTTL/3 {
+			l.markLoading(t)
 			marked = clock.Now()
 		}
-		time.Sleep(drainPoll)
+		time.Sleep(drainPollInterval)
 		now := clock.Now()
 		drained := now.Sub(began)
-		if drained >= maxDrain || drained >= leastDrain && l.replicas.Waiting(t.server.ID, now) == 0 {
+		if drained >= maxDrain || drained >= minDrain && l.replicas.Waiting(t.server.ID, now) == 0 {
 			return
 		}
 	}
 }
 
-func (l *Loader) mark(t target) {
-	l.replicas.Loading(t.server.ID, clock.Now().Add(refuseHold))
+// markLoading keeps new requests of all hosts away from a replica for loadingMarkTTL.
+func (l *Loader) markLoading(t loadTarget) {
+	l.replicas.Loading(t.server.ID, clock.Now().Add(loadingMarkTTL))
 	l.Changed()
 }
 
-func (l *Loader) sequence(id string) (int64, bool) {
+func (l *Loader) orderSequence(id string) (int64, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	n, known := l.sequences[id]
+	n, known := l.orderSequences[id]
 	return n, known
 }
 
-func (l *Loader) setSequence(id string, n int64) {
+func (l *Loader) setOrderSequence(id string, n int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.sequences[id] = n
+	l.orderSequences[id] = n
 }
 
-// noteCall notes whether a replica answered a report or an order.
-func (l *Loader) noteCall(id string, answered bool) {
+// recordCall records whether a replica answered a call.
+func (l *Loader) recordCall(id string, answered bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.progress.note(answered)
-	if try := l.busy[id]; try != nil {
-		try.answered = try.answered || answered
-		try.silent = try.silent || !answered
-		l.patchy = l.patchy || try.answered && try.silent
+	l.progress.count(answered)
+	if current := l.attempts[id]; current != nil {
+		current.answered = current.answered || answered
+		current.unanswered = current.unanswered || !answered
+		l.partlyReachable = l.partlyReachable || current.answered && current.unanswered
 	}
 }
 
-// noteReport notes what a replica reports of its orders.
-func (l *Loader) noteReport(id string, report platform.EngineReport) {
-	l.setSequence(id, report.Sequence)
+// recordReport records what a report shows about the load orders of a replica.
+func (l *Loader) recordReport(id string, report platform.EngineReport) {
+	l.setOrderSequence(id, report.Sequence)
 	if !report.Loading {
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.progress = progress{at: clock.Now()}
+	l.progress = progress{since: clock.Now()}
 }
 
-func (l *Loader) report(ctx context.Context, t target) (platform.EngineReport, error) {
+func (l *Loader) report(ctx context.Context, t loadTarget) (platform.EngineReport, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	report, err := l.engine.Report(ctx, t.server.Address, t.server.ID)
-	l.noteCall(t.server.ID, err == nil)
+	l.recordCall(t.server.ID, err == nil)
 	if err == nil {
-		l.noteReport(t.server.ID, report)
+		l.recordReport(t.server.ID, report)
 	}
 	return report, err
 }
 
-// holds records what a report shows and whether it is the target.
-func (l *Loader) holds(t target, report platform.EngineReport) bool {
+// recordIfLoaded records the weights in a report if they are the target's version or newer,
+// and reports whether they are.
+func (l *Loader) recordIfLoaded(t loadTarget, report platform.EngineReport) bool {
 	if report.Weights[t.model] < t.version {
 		return false
 	}
-	l.learn(t.server.ID, t.model, report.Weights[t.model])
+	l.recordWeights(t.server.ID, t.model, report.Weights[t.model])
 	return true
 }
 
-// order sends the order right after checking the lease. An order without an answer may
+// order sends a load order right after checking the lease. An order without an answer may
 // have been accepted.
-func (l *Loader) order(ctx context.Context, t target, sequence int64) (platform.OrderResult, error) {
+func (l *Loader) order(ctx context.Context, t loadTarget, sequence int64) (platform.OrderResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	o := platform.LoadOrder{
@@ -174,21 +178,21 @@
 	}
 	l.Ordered()
 	result, err := l.engine.Order(ctx, t.server.Address, o)
-	l.noteCall(t.server.ID, err == nil)
-	line := l.log.WithFields(logrus.Fields{
+	l.recordCall(t.server.ID, err == nil)
+	entry := l.log.WithFields(logrus.Fields{
 		"replica": t.server.ID, "version": t.version, "fencing": o.Fencing, "sequence": sequence, "result": result.String(),
 	})
 	if err != nil {
-		// The reports show whether it was accepted.
-		line.WithError(err).Warn("order to load weights without an answer")
+		// Later reports show whether it was accepted.
+		entry.WithError(err).Warn("order to load weights without an answer")
 		return platform.OrderLost, nil
 	}
-	line.Info("order to load weights")
+	entry.Info("order to load weights")
 	if result == platform.OrderAccepted {
-		l.setSequence(t.server.ID, sequence+1)
+		l.setOrderSequence(t.server.ID, sequence+1)
 		return result, nil
 	}
-	// The count is not what was believed, or nothing was said of it.
+	// The replica's count of orders differs from the recorded one, or was not confirmed.
 	l.Forget(t.server.ID)
 	if result == platform.OrderHolds || result == platform.OrderConflict {
 		return result, nil
@@ -196,33 +200,33 @@
 	return result, errOrderRefused
 }
 
-// Forget drops what is known of a replica's orders: it left or started again,
-// and counts its orders from zero.
+// Forget drops the recorded count of a replica's orders, after which the next attempt asks
+// the replica for it. A replica that restarts counts its orders from zero.
 func (l *Loader) Forget(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	delete(l.sequences, id)
+	delete(l.orderSequences, id)
 }
 
-// await asks the replica until it holds the target's weights. An order that was not
-// accepted, and will not be, ends the wait early, so that the next plan orders again.
-func (l *Loader) await(ctx context.Context, t target, sequence int64, result platform.OrderResult) error {
+// awaitLoad polls the replica until it holds the target's weights. It ends early if the order
+// was not accepted and can no longer be, so that the next plan sends another one.
+func (l *Loader) awaitLoad(ctx context.Context, t loadTarget, sequence int64, result platform.OrderResult) error {
 	accepted := result == platform.OrderAccepted || result == platform.OrderHolds
 	began := clock.Now()
-	pause := firstReport
+	pause := minLoadTime
 	failures := 0
 	for {
 		select {
 		case <-ctx.Done():
-			return errLoadSlow
+			return errLoadTimeout
 		case <-time.After(pause):
 		}
-		pause = reportInterval
-		l.mark(t)
+		pause = pollInterval
+		l.markLoading(t)
 		report, err := l.report(ctx, t)
 		if err != nil {
 			failures++
-			if failures >= maxFailures {
+			if failures >= maxReportFailures {
 				return err
 			}
 			continue
@@ -232,22 +236,22 @@
 			l.Forget(t.server.ID)
 			return errRestarted
 		}
-		if l.holds(t, report) {
+		if l.recordIfLoaded(t, report) {
 			return nil
 		}
-		if !accepted && isVoid(report, sequence, clock.Since(began)) {
+		if !accepted && cannotTakeEffect(report, sequence, clock.Since(began)) {
 			return errOrderLost
 		}
 	}
 }
 
-// isVoid reports whether an order that the replica was not seen to accept need not be
-// waited for: its condition cannot come true any more, since others were accepted and
-// have ended, or it had time enough to arrive. Without the first a host whose count of
-// a replica's orders is old would lose loadTimeout to each replica.
-func isVoid(report platform.EngineReport, sequence int64, waited time.Duration) bool {
+// cannotTakeEffect reports whether an order that the replica has not confirmed need not be
+// waited for: the replica has accepted other orders since, so that the order's sequence
+// number no longer matches, or it had enough time to arrive. Without the first condition a
+// host with an outdated count of a replica's orders would lose loadTimeout on each replica.
+func cannotTakeEffect(report platform.EngineReport, sequence int64, waited time.Duration) bool {
 	if report.Loading {
 		return false
 	}
-	return report.Sequence > sequence || waited > resendAfter
+	return report.Sequence > sequence || waited > lostOrderTimeout
 }
--- a/internal/rollout/suspend_test.go
+++ b/internal/rollout/suspend_test.go
@@ -10,15 +10,15 @@
 	"github.com/briarlink/briarlink/internal/clock"
 )
 
-// TestHolderThatWasSuspendedGivesNoOrders: its machine stood still for longer than the
-// lease, and the monotonic clock with it. By that clock its lease had most of its time
-// left, while another host had taken it over long since.
+// TestHolderThatWasSuspendedGivesNoOrders guards against orders under a lease that ended while
+// the machine was suspended. The monotonic clock stops with the machine: by it the lease had
+// most of its time left, while another host had long taken it over.
 func TestHolderThatWasSuspendedGivesNoOrders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		began, suspended := time.Now(), time.Duration(0)
 		defer clock.Replace(func() time.Duration { return time.Since(began) + suspended })()
 		ctx, cancel := context.WithCancel(context.Background())
-		lease := NewLease(&view{log: newFakeLog()}, quietLog(), "a", 1, testTTL)
+		lease := NewLease(&logClient{log: newFakeLog()}, quietLog(), "a", 1, testTTL)
 		var wg sync.WaitGroup
 		wg.Go(func() { lease.Follow(ctx) })
 		synctest.Wait()
--- a/internal/rollout/turn.go
+++ b/internal/rollout/turn.go
@@ -7,162 +7,167 @@
 )
 
 const (
-	// silentAfter and stalledAfter are how long a holder tries a replica in vain before it
-	// leaves the lease to another host, if none is left that it could load: two calls more
-	// without an answer; where the replica answers, a few orders more, for orders may get
-	// lost. The next host takes over once the lease has ended, 3.3 s later.
-	silentAfter  = 1500 * time.Millisecond
-	stalledAfter = 5 * time.Second
-	// slowAfter is how long a holder keeps the lease while it gets nothing loaded, although
-	// replicas are left, and half of its calls or more go without an answer: a host that has
-	// become slow renews it in time, and fails at all else. The first replicas of a
-	// rollout load within 2 s. Where orders get lost on their way, reports are answered, and
-	// another host would fare no better.
-	slowAfter = 2500 * time.Millisecond
-	// standBack is how much later than its turn such a host wants the lease again, so that
-	// others come first: as many as follow the lease's log.
-	standBack = 16 * rankDelay
+	// unresponsiveTimeout and stalledTimeout are how long the holder of the lease goes on
+	// trying a replica without success. When that time is over for all outdated replicas it
+	// yields the lease. The first is for a replica that does not answer: two more calls. The
+	// second is for one that answers: a few more orders, since orders may get lost. The next
+	// host takes over when the lease has ended, 3.3 s later.
+	unresponsiveTimeout = 1500 * time.Millisecond
+	stalledTimeout      = 5 * time.Second
+	// slowHostTimeout is how long the holder keeps the lease while no replica loads and half
+	// of its calls or more go without an answer: a host that has become slow still renews
+	// the lease in time, but fails at everything else. The first replicas of a rollout load
+	// within 2 s. If only orders get lost, reports are still answered, and another host
+	// would do no better.
+	slowHostTimeout = 2500 * time.Millisecond
+	// yieldDelay is how long after its turn a host that has yielded the lease takes it
+	// again, so that as many others come first as follow the lease's log.
+	yieldDelay = 16 * rankDelay
 )
 
-// failure is one or more tries in a row that failed.
+// failure records one or more failed attempts in a row to load a replica.
 type failure struct {
-	// since is when the first of them ended, at when the last one did.
-	since, at time.Time
-	version   int64
-	// answered is whether the replica answered any call of the last one.
+	// firstEnd is when the first of them ended, lastEnd when the last one did.
+	firstEnd, lastEnd time.Time
+	version           int64
+	// answered is whether the replica answered any call of the last attempt.
 	answered bool
-	// asked is when the replica was asked since whether it answers, back whether it did.
-	asked time.Time
-	back  bool
+	// lastProbe is when the replica was last probed, answersAgain whether it has answered a
+	// probe since the last attempt.
+	lastProbe    time.Time
+	answersAgain bool
 }
 
-// patience is how long a host goes on in vain.
-func (f failure) patience() time.Duration {
+// timeout returns how long a host goes on trying the replica without success.
+func (f failure) timeout() time.Duration {
 	if f.answered {
-		return stalledAfter
+		return stalledTimeout
 	}
-	return silentAfter
+	return unresponsiveTimeout
 }
 
-// progress is when a replica was last seen to load, or there was none to load, and how many
+// progress records when a replica was last seen loading, or none was outdated, and how many
 // calls this host has made since, with and without an answer.
 type progress struct {
-	at               time.Time
-	answered, silent int
+	since                time.Time
+	answered, unanswered int
 }
 
-// note counts a call.
-func (p *progress) note(answered bool) {
+// count counts a call.
+func (p *progress) count(answered bool) {
 	if answered {
 		p.answered++
 	} else {
-		p.silent++
+		p.unanswered++
 	}
 }
 
-// slow reports whether this host gets nothing done, as far as its calls tell.
-func (p *progress) slow(now time.Time) bool {
-	return now.Sub(p.at) >= slowAfter && p.silent >= p.answered
+// hostSlow reports whether this host appears to be too slow to load anything.
+func (p *progress) hostSlow(now time.Time) bool {
+	return now.Sub(p.since) >= slowHostTimeout && p.unanswered >= p.answered
 }
 
-// due reports whether it is this host's turn to hold the lease. Hosts that may need it
-// follow each other by rank from when replicas came to lack weights, or it became vacant,
-// whichever is later. A host that has left the lease does not renew it, and comes last then.
-func (l *Loader) due(needed time.Time, left bool, now time.Time) bool {
+// isTurn reports whether it is this host's turn to take or renew the lease. The turns follow
+// each other by rank, from when replicas became outdated or the lease became vacant,
+// whichever is later. A host that has yielded the lease does not renew it, and takes it again
+// after all others.
+func (l *Loader) isTurn(eligibleSince time.Time, yielded bool, now time.Time) bool {
 	delay := time.Duration(l.Rank()) * rankDelay
-	vacant := l.lease.VacantSince(now)
-	if vacant.IsZero() {
-		return !left && now.Sub(needed) >= delay
+	vacantSince := l.lease.VacantSince(now)
+	if vacantSince.IsZero() {
+		return !yielded && now.Sub(eligibleSince) >= delay
 	}
-	if left {
-		delay += standBack
+	if yielded {
+		delay += yieldDelay
 	}
-	if vacant.After(needed) {
-		needed = vacant
+	if vacantSince.After(eligibleSince) {
+		eligibleSince = vacantSince
 	}
-	return l.lease.Follows() && now.Sub(needed) >= delay
+	return l.lease.Follows() && now.Sub(eligibleSince) >= delay
 }
 
-// leaves notes whether this host leaves the lease to others, or goes on while it still holds
-// it, and reports whether it has left it since it took it last. l.mu is held.
-func (l *Loader) leaves(behind []target, held bool, now time.Time) bool {
-	l.noteNewest(behind, now)
+// updateYield yields the lease if this host fails to load the outdated replicas, or resumes
+// if it has yielded a lease that it still holds and a replica can be loaded after all. It
+// reports whether the lease is yielded. l.mu is held.
+func (l *Loader) updateYield(outdated []loadTarget, held bool, now time.Time) bool {
+	l.resetForNewVersion(outdated, now)
 	if !held {
-		return l.hasLeft()
+		return l.hasYielded()
 	}
-	inVain := l.inVain(behind, now)
-	// Built for a line alone: this is asked each 60 ms, and lines are rare.
-	line := func() *logrus.Entry {
+	failing := l.allFailing(outdated, now)
+	// Built only for the rare log messages: updateYield runs every 60 ms.
+	entry := func() *logrus.Entry {
 		return l.log.WithFields(logrus.Fields{
-			"fencing": l.term, "replicas": len(behind), "in_vain": len(l.failed), "progress_ms": now.Sub(l.progress.at).Milliseconds(),
+			"fencing": l.leaseTerm, "replicas": len(outdated), "in_vain": len(l.failed), "progress_ms": now.Sub(l.progress.since).Milliseconds(),
 		})
 	}
 	switch {
-	case !l.hasLeft() && (inVain || l.progress.slow(now)):
-		l.left, l.leftInVain = l.term, inVain
-		line().Warn("lease for weights left to another host: the replicas that lack them are not loaded")
-	case l.hasLeft() && l.leftInVain && !inVain && l.mayResume():
-		before := line()
-		l.left, l.resumed, l.progress = 0, now, progress{at: now}
-		before.Info("lease for weights kept after all: a replica may be loaded")
+	case !l.hasYielded() && (failing || l.progress.hostSlow(now)):
+		l.yieldedTerm, l.yieldedAfterFailures = l.leaseTerm, failing
+		entry().Warn("lease for weights left to another host: the replicas that lack them are not loaded")
+	case l.hasYielded() && l.yieldedAfterFailures && !failing && l.mayResume():
+		resumeEntry := entry()
+		l.yieldedTerm, l.resumedAt, l.progress = 0, now, progress{since: now}
+		resumeEntry.Info("lease for weights kept after all: a replica may be loaded")
 	}
-	return l.hasLeft()
+	return l.hasYielded()
 }
 
-// hasLeft reports whether this host has left the lease to others since it took it last.
-// l.mu is held.
-func (l *Loader) hasLeft() bool { return l.term != 0 && l.left == l.term }
+// hasYielded reports whether this host has yielded the lease since it last took it. l.mu is
+// held.
+func (l *Loader) hasYielded() bool { return l.leaseTerm != 0 && l.yieldedTerm == l.leaseTerm }
 
-// mayResume reports whether this host may go on after it has left the lease: once, and again
-// only after a replica has loaded since. One that gets a part of its calls answered never
-// does: it would keep the lease for 40 s from a host that gets all, and a replica's answer
-// says nothing to it. l.mu is held.
+// mayResume reports whether this host may keep a lease that it has yielded: once, and again
+// only after a replica was seen loading since. A host that gets only some of the calls of an
+// attempt answered never resumes: an answer does not show that it can load the replica, and
+// it would keep the lease for 40 s from a host that gets all of them. l.mu is held.
 func (l *Loader) mayResume() bool {
-	return !l.patchy && (l.resumed.IsZero() || l.progress.at.After(l.resumed))
+	return !l.partlyReachable && (l.resumedAt.IsZero() || l.progress.since.After(l.resumedAt))
 }
 
-// noteNewest begins anew when a newer version is wanted: a host that left the lease in vain
-// of a few replicas may well load the others. l.mu is held.
-func (l *Loader) noteNewest(behind []target, now time.Time) {
-	for _, t := range behind {
-		if t.version > l.newest[t.model] {
-			l.newest[t.model] = t.version
-			l.progress, l.left, l.resumed = progress{at: now}, 0, time.Time{}
+// resetForNewVersion cancels the yielding of the lease when a newer version is wanted: a host
+// that yielded it because of a few replicas may well load the others. l.mu is held.
+func (l *Loader) resetForNewVersion(outdated []loadTarget, now time.Time) {
+	for _, t := range outdated {
+		if t.version > l.newestWanted[t.model] {
+			l.newestWanted[t.model] = t.version
+			l.progress, l.yieldedTerm, l.resumedAt = progress{since: now}, 0, time.Time{}
 		}
 	}
 }
 
-// inVain reports whether this host has for a while tried all replicas that are left in
-// vain. Another host may reach them; by the view of one host alone they would keep their old
-// weights. l.mu is held.
-func (l *Loader) inVain(behind []target, now time.Time) bool {
-	for _, t := range behind {
-		f, failed := l.failure(t)
-		if !failed || f.back || now.Sub(f.since) < f.patience() {
+// allFailing reports whether there are outdated replicas and this host has tried all of them
+// without success until their timeouts. Another host may reach them; if this one kept the
+// lease they would keep their old weights. l.mu is held.
+func (l *Loader) allFailing(outdated []loadTarget, now time.Time) bool {
+	for _, t := range outdated {
+		f, failed := l.lastFailure(t)
+		if !failed || f.answersAgain || now.Sub(f.firstEnd) < f.timeout() {
 			return false
 		}
 	}
-	return len(behind) > 0
+	return len(outdated) > 0
 }
 
-// failure returns the tries of a target that failed. l.mu is held.
-func (l *Loader) failure(t target) (failure, bool) {
+// lastFailure returns the failed attempts to load a target's version. l.mu is held.
+func (l *Loader) lastFailure(t loadTarget) (failure, bool) {
 	f, failed := l.failed[t.server.ID]
 	return f, failed && f.version == t.version
 }
 
-// noteTerm begins anew where the lease was taken anew. Where another host held it before,
-// that one has given orders, and the counts of them are out of date.
-func (l *Loader) noteTerm(now time.Time) {
-	term, fromOther := l.lease.Term()
+// resetForNewTerm resets what was recorded under an earlier term if the lease has been taken
+// again. If another host held it in between, that host may have sent orders, and the recorded
+// counts of orders are out of date.
+func (l *Loader) resetForNewTerm(now time.Time) {
+	term, tookFromOther := l.lease.Term()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if term == l.term {
+	if term == l.leaseTerm {
 		return
 	}
-	l.term, l.progress, l.resumed, l.patchy = term, progress{at: now}, time.Time{}, false
+	l.leaseTerm, l.progress, l.resumedAt, l.partlyReachable = term, progress{since: now}, time.Time{}, false
 	clear(l.failed)
-	if fromOther {
-		clear(l.sequences)
+	if tookFromOther {
+		clear(l.orderSequences)
 	}
 }
--- a/internal/rollout/verify.go
+++ b/internal/rollout/verify.go
@@ -10,13 +10,13 @@
 	"github.com/briarlink/briarlink/internal/replica"
 )
 
-// verifyInterval is how often replicas are looked for whose weights are not those
-// believed; a report costs a probe.
+// verifyInterval is how often to look for replicas with other weights than assumed. Each of
+// them costs a call for a report.
 const verifyInterval = 100 * time.Millisecond
 
-// Verify asks replicas whose weights turned out not to be those believed, until ctx
-// ends. An order that was carried out seconds late leaves a replica on weights that
-// nobody expects of it.
+// Verify requests reports from replicas whose weights have turned out to differ from those
+// assumed, until ctx is done. A load order that is executed seconds late leaves a replica
+// with weights that no host expects.
 func (l *Loader) Verify(ctx context.Context) {
 	clock.Every(ctx, verifyInterval, func() {
 		for _, s := range l.replicas.Unsure(clock.Now()) {
@@ -34,32 +34,32 @@
 		return
 	}
 	for model, version := range report.Weights {
-		switch believed := s.Weights[model]; {
-		case version > believed:
-			l.learn(s.ID, model, version)
-		case version < believed && !report.Loading:
-			l.wentBack(s.ID, model, believed, version)
+		switch assumed := s.Weights[model]; {
+		case version > assumed:
+			l.recordWeights(s.ID, model, version)
+		case version < assumed && !report.Loading:
+			l.recordOlderWeights(s.ID, model, assumed, version)
 		}
 	}
 }
 
-// wentBack records that a replica which refused the weights it was believed to hold
-// reports older ones: an order was carried out after a newer one. Unless it is ordered
-// again it keeps them.
-func (l *Loader) wentBack(id, model string, believed, version int64) {
-	if !l.replicas.HoldsOlder(id, model, believed, version) {
+// recordOlderWeights records that a replica which refused requests for the weights that it
+// was assumed to hold reports older ones: an order was executed after a newer one. The
+// replica keeps the older weights unless it is sent another load order.
+func (l *Loader) recordOlderWeights(id, model string, assumed, version int64) {
+	if !l.replicas.HoldsOlder(id, model, assumed, version) {
 		return
 	}
-	l.log.WithFields(logrus.Fields{"replica": id, "model": model, "believed": believed, "version": version}).Warn("replica went back to older weights")
+	l.log.WithFields(logrus.Fields{"replica": id, "model": model, "believed": assumed, "version": version}).Warn("replica went back to older weights")
 	l.Forget(id)
 	l.Loaded(id)
 }
 
-// learn records weights that a replica itself reported, for this host and others.
-func (l *Loader) learn(id, model string, version int64) {
+// recordWeights records weights that a replica itself reported, and notifies other hosts.
+func (l *Loader) recordWeights(id, model string, version int64) {
 	l.replicas.Holds(id, model, version)
 	l.mu.Lock()
-	l.recent = append(l.recent, loaded{id, model, version, clock.Now()})
+	l.recentLoads = append(l.recentLoads, loadedWeights{id, model, version, clock.Now()})
 	l.mu.Unlock()
 	l.Loaded(id)
 	l.Changed()
