--- a/internal/canary/counts.go
+++ b/internal/canary/counts.go
@@ -7,42 +7,45 @@
 )
 
 const (
-	// ratioSteps is the number of thresholds of an answer's time, as a multiple of what was
-	// expected of it: each is ratioStep times the one before, the first one is 1.
-	ratioSteps = 12
-	ratioStep  = 1.5
-	// slowSteps and verySlowSteps above the median of the old version are where answers of
-	// the new one count as slow: 3.4 and 7.6 times as long.
+	// numThresholds is the number of thresholds for the ratio of an answer's time to the
+	// expected time. The first threshold is 1, and each is thresholdFactor times the one
+	// before.
+	numThresholds   = 12
+	thresholdFactor = 1.5
+	// slowSteps and verySlowSteps are how many thresholds above the median of the old version
+	// an answer of the new one counts as slow: at 3.4 and 7.6 times the median.
 	slowSteps     = 3
 	verySlowSteps = 5
-	// badServers is the number of servers that must have given bad answers, where so many
-	// serve: one sick server does not make a bad version.
-	badServers = 3
+	// minBadServers is how many servers, or all if there are fewer, must have given bad
+	// answers before a version counts as bad: a single faulty server does not make it so.
+	minBadServers = 3
 )
 
-// Answer is one answer of a server of a service that is being moved.
+// Answer is an answer of a server during a canary release of its service. Target is whether
+// the server has the new version.
 type Answer struct {
 	Route  string
 	Server string
 	Target bool
-	// Failed answers are failures of the server itself, or were lost with it.
+	// Failed is whether the server itself failed, or the answer was lost with it.
 	Failed bool
-	// Ratio is the time to the answer's beginning as a multiple of what was expected; 0
-	// where it is not known.
+	// Ratio is the time to the start of the answer divided by the expected time, or 0 if not
+	// known.
 	Ratio float64
 }
 
-// Counts sum up answers of one version on one route.
+// Counts are the totals of the answers of one version on one route.
 type Counts struct {
 	Answers, Failed int64
-	// Slow counts those later than each threshold.
-	Slow [ratioSteps]int64
-	// Servers that gave bad answers, each a bit by its hash.
+	// Slow counts, for each threshold, the answers whose ratio exceeds it.
+	Slow [numThresholds]int64
+	// Servers has a bit set, selected by the server's hash, for each server that gave bad
+	// answers.
 	Servers uint64
 }
 
-// take adds an answer; bad ones from the server with a hash.
-func (c *Counts) take(a Answer, hash uint64) {
+// record adds an answer of the server with the given hash.
+func (c *Counts) record(a Answer, hash uint64) {
 	c.Answers++
 	if a.Failed {
 		c.Failed++
@@ -58,10 +61,12 @@
 		if i >= slowSteps {
 			c.Servers |= 1 << (hash % 64)
 		}
-		threshold *= ratioStep
+		threshold *= thresholdFactor
 	}
 }
 
+// add adds other if sign is 1, and subtracts it if sign is -1, except for Servers, which are
+// only ever added.
 func (c *Counts) add(other Counts, sign int64) {
 	c.Answers += sign * other.Answers
 	c.Failed += sign * other.Failed
@@ -71,144 +76,151 @@
 	c.Servers |= other.Servers
 }
 
-// key is a route, or "" for all, by hash.
-type key uint32
+// routeHash is the hash of a route's name; 0 stands for all routes together.
+type routeHash uint32
 
-// sums are the counts of both versions by route.
-type sums map[key]*versions
+// routeCounts are the counts of both versions by route.
+type routeCounts map[routeHash]*versionPair
 
-type versions struct{ old, target Counts }
+// versionPair holds the counts of the old version and of the target, the new one.
+type versionPair struct{ old, target Counts }
 
-func (s sums) of(k key) *versions {
+// get returns the counts of a route, which it adds if there are none yet.
+func (s routeCounts) get(k routeHash) *versionPair {
 	v := s[k]
 	if v == nil {
-		v = &versions{}
+		v = &versionPair{}
 		s[k] = v
 	}
 	return v
 }
 
-func (s sums) clone() sums {
-	out := sums{}
+func (s routeCounts) clone() routeCounts {
+	out := routeCounts{}
 	for k, v := range s {
-		both := *v
-		out[k] = &both
+		pair := *v
+		out[k] = &pair
 	}
 	return out
 }
 
-// certainty is the evidence, as the logarithm of a likelihood ratio, from which the new
-// version counts as bad: of 10,000 good versions less than one is to be rolled back, although
-// each is compared over many windows and routes.
-const certainty = 13.0
+// evidenceThreshold is the evidence, as the logarithm of a likelihood ratio, from which the new
+// version counts as bad. It is meant to roll back fewer than one in 10,000 good versions,
+// although each is compared over many windows and routes.
+const evidenceThreshold = 13.0
 
-// compare returns how strongly answers of the new version say that it is worse than the
-// old one over the same time, as the logarithm of a likelihood ratio.
-func (v *versions) compare(servers int) float64 {
-	if bits.OnesCount64(v.target.Servers) < min(badServers, servers) {
+// evidence returns how strongly the answers show that the new version is worse than the old
+// one over the same time, as the logarithm of a likelihood ratio. servers is the number of
+// servers with the new version.
+func (v *versionPair) evidence(servers int) float64 {
+	if bits.OnesCount64(v.target.Servers) < min(minBadServers, servers) {
 		return 0
 	}
-	worst := evidence(v.target.Failed, v.target.Answers, v.old.Failed, v.old.Answers)
-	median := v.old.medianStep()
+	strongest := logLikelihoodRatio(v.target.Failed, v.target.Answers, v.old.Failed, v.old.Answers)
+	median := v.old.medianThreshold()
 	for _, steps := range []int{slowSteps, verySlowSteps} {
-		if i := median + steps; i < ratioSteps {
-			worst = max(worst, evidence(v.target.Slow[i], v.target.Answers, v.old.Slow[i], v.old.Answers))
+		if i := median + steps; i < numThresholds {
+			strongest = max(strongest, logLikelihoodRatio(v.target.Slow[i], v.target.Answers, v.old.Slow[i], v.old.Answers))
 		}
 	}
-	return worst
+	return strongest
 }
 
-// aboutHalf of the answers may be later than the median's threshold: it is not to change to
-// and fro where the median lies at a threshold.
-const aboutHalf = 0.55
+// medianShare is the largest share of answers that may exceed the median's threshold. It is
+// above a half so that the threshold does not flap when the median lies close to one.
+const medianShare = 0.55
 
-// medianStep returns the first threshold that about half of the answers keep.
-func (c *Counts) medianStep() int {
+// medianThreshold returns the index of the first threshold that about half of the answers do
+// not exceed.
+func (c *Counts) medianThreshold() int {
 	for i, n := range c.Slow {
-		if float64(n) <= aboutHalf*float64(c.Answers) {
+		if float64(n) <= medianShare*float64(c.Answers) {
 			return i
 		}
 	}
-	return ratioSteps
+	return numThresholds
 }
 
 const (
-	// tolerance is how much more often than by the old version's answers bad ones may come:
-	// new servers begin without prompts, and may be of another kind.
-	tolerance = 1.25
-	// deviations of a count are added to what the old version's answers show.
-	deviations = 3.0
+	// toleratedIncrease is how many times as often as with the old version bad answers may
+	// occur: new servers start without cached prompts, and may be of another kind.
+	toleratedIncrease = 1.25
+	// stdDevs is how many standard deviations are added to the old version's count of bad
+	// answers.
+	stdDevs = 3.0
 )
 
-// usual returns the largest part of bad answers that the old version's answers allow for.
-func usual(bad, answers int64) float64 {
-	high := float64(bad) + deviations*math.Sqrt(float64(bad)+1) + 1
-	return min(0.95, tolerance*high/float64(answers+1))
+// maxExpectedShare returns the largest share of bad answers that is still expected of the new
+// version, from the answers of the old one.
+func maxExpectedShare(bad, answers int64) float64 {
+	high := float64(bad) + stdDevs*math.Sqrt(float64(bad)+1) + 1
+	return min(0.95, toleratedIncrease*high/float64(answers+1))
 }
 
-// evidence returns the logarithm of the likelihood ratio of a larger part of bad answers
-// against the usual one: a mean over larger parts, so that it is valid whenever it is
-// looked at.
-func evidence(bad, answers, oldBad, oldAnswers int64) float64 {
+// logLikelihoodRatio returns the logarithm of the likelihood ratio of a larger share of bad
+// answers against the expected one. The ratio is the mean over several larger shares, so that
+// it is valid whenever it is evaluated.
+func logLikelihoodRatio(bad, answers, oldBad, oldAnswers int64) float64 {
 	if answers <= 0 || bad <= 0 {
 		return 0
 	}
-	q := usual(oldBad, oldAnswers)
+	q := maxExpectedShare(oldBad, oldAnswers)
 	if float64(bad) <= q*float64(answers) {
 		return 0
 	}
-	most, sum := math.Inf(-1), 0.0
+	maxLog, sum := math.Inf(-1), 0.0
 	var logs [5]float64
-	for i, part := range [...]float64{0.05, 0.12, 0.25, 0.5, 0.85} {
-		p := q + (1-q)*part
+	for i, share := range [...]float64{0.05, 0.12, 0.25, 0.5, 0.85} {
+		p := q + (1-q)*share
 		logs[i] = float64(bad)*math.Log(p/q) + float64(answers-bad)*math.Log((1-p)/(1-q))
-		most = max(most, logs[i])
+		maxLog = max(maxLog, logs[i])
 	}
 	for _, l := range logs {
-		sum += math.Exp(l - most)
+		sum += math.Exp(l - maxLog)
 	}
-	return most + math.Log(sum/float64(len(logs)))
+	return maxLog + math.Log(sum/float64(len(logs)))
 }
 
 const (
-	// windowStep is the time between the starts of the windows over which versions are
-	// compared, and maxWindows their number: a version may turn bad only later.
+	// windowStep is the shortest time between the starts of the windows over which versions
+	// are compared, and maxWindows bounds their number. There are several windows because a
+	// version may turn bad only later.
 	windowStep = time.Second
 	maxWindows = 32
 )
 
-// history holds earlier sums.
+// history holds earlier counts, each of which starts a window.
 type history struct {
-	sums []sums
-	last time.Time
+	snapshots []routeCounts
+	lastTaken time.Time
 }
 
-// note keeps the sums of a moment, every windowStep. Of a long history every other moment
-// is kept.
-func (h *history) note(s sums, now time.Time) {
-	if len(h.sums) > 0 && now.Sub(h.last) < windowStep {
+// record takes a snapshot of the counts if windowStep has passed since the last one. If there
+// are then too many, it drops every other one.
+func (h *history) record(s routeCounts, now time.Time) {
+	if len(h.snapshots) > 0 && now.Sub(h.lastTaken) < windowStep {
 		return
 	}
-	h.last = now
-	h.sums = append(h.sums, s.clone())
-	if len(h.sums) <= maxWindows {
+	h.lastTaken = now
+	h.snapshots = append(h.snapshots, s.clone())
+	if len(h.snapshots) <= maxWindows {
 		return
 	}
-	kept := h.sums[:0]
-	for i, s := range h.sums {
+	kept := h.snapshots[:0]
+	for i, s := range h.snapshots {
 		if i%2 == 0 {
 			kept = append(kept, s)
 		}
 	}
-	h.sums = kept
+	h.snapshots = kept
 }
 
-// worst returns the strongest evidence over all windows and routes, and the route.
-func (h *history) worst(s sums, servers int) (float64, key) {
-	worst, at := 0.0, key(0)
+// strongestEvidence returns the strongest evidence over all windows and routes, and its route.
+func (h *history) strongestEvidence(s routeCounts, servers int) (float64, routeHash) {
+	strongest, route := 0.0, routeHash(0)
 	for k, v := range s {
-		windows := []versions{*v}
-		for _, before := range h.sums {
+		windows := []versionPair{*v}
+		for _, before := range h.snapshots {
 			if b := before[k]; b != nil {
 				w := *v
 				w.old.add(b.old, -1)
@@ -217,10 +229,10 @@
 			}
 		}
 		for i := range windows {
-			if e := windows[i].compare(servers); e > worst {
-				worst, at = e, k
+			if e := windows[i].evidence(servers); e > strongest {
+				strongest, route = e, k
 			}
 		}
 	}
-	return worst, at
+	return strongest, route
 }
--- a/internal/canary/rollout.go
+++ b/internal/canary/rollout.go
@@ -1,7 +1,7 @@
-// Package canary moves the requests of a service from servers with one version of its
-// software to servers with another, as operators ask: a small share at first, all once the
-// new version has shown that it is no worse, and none if it is. What is decided here is
-// apart from how hosts tell each other, and from the store.
+// Package canary decides on canary releases. When operators order one, the requests of a
+// service move from servers with one version of its software to servers with another: a small
+// share at first, all of them once the new version has proved to be no worse, and none if it
+// is worse. Communication between hosts and with the store is not part of this package.
 package canary
 
 import (
@@ -13,13 +13,14 @@
 	"github.com/briarlink/briarlink/internal/statemachine"
 )
 
-// States of a move.
+// States of a canary release.
 const (
-	// StateWaiting: ordered, and no host gives permission to use the new version.
+	// StateWaiting: the release is ordered, but no host has permitted the use of the new
+	// version.
 	StateWaiting = "waiting"
 	// StateRunning: a share of the requests goes to the new version.
 	StateRunning = "running"
-	// StateMoving: all requests go to the new version, while those at the old one end.
+	// StateMoving: all new requests go to the new version, while those at the old one end.
 	StateMoving = "moving"
 	// StateDone and StateRolledBack are final.
 	StateDone       = "done"
@@ -28,7 +29,7 @@
 
 const (
 	eventPermit   = "permitted"
-	eventMove     = "found no worse"
+	eventShift    = "found no worse"
 	eventDone     = "nothing left on the old version"
 	eventRollBack = "found worse, or not moved in time"
 )
@@ -36,229 +37,239 @@
 func newMachine() *fsm.FSM {
 	return fsm.NewFSM(StateWaiting, fsm.Events{
 		{Name: eventPermit, Src: []string{StateWaiting}, Dst: StateRunning},
-		{Name: eventMove, Src: []string{StateWaiting, StateRunning}, Dst: StateMoving},
+		{Name: eventShift, Src: []string{StateWaiting, StateRunning}, Dst: StateMoving},
 		{Name: eventDone, Src: []string{StateWaiting, StateRunning, StateMoving}, Dst: StateDone},
 		{Name: eventRollBack, Src: []string{StateWaiting, StateRunning, StateMoving}, Dst: StateRolledBack},
 	}, fsm.Callbacks{})
 }
 
-// Diagram returns the state machine of a move as a Mermaid diagram.
+// Diagram returns the state machine of a canary release as a Mermaid diagram.
 func Diagram() string { return statemachine.Diagram(newMachine()) }
 
-// Order is the operators' order to move a service to a version.
+// Order is an operators' order to release a version of a service.
 type Order struct {
 	Service string
 	Target  string
-	// Duration is the time in which the service is to be moved.
+	// Duration is the time within which the release is to be done.
 	Duration time.Duration
-	// Offset is the order's place in the operators' topic; a later order overtakes.
+	// Offset is the order's offset in the operators' topic; a later order supersedes it.
 	Offset int64
 }
 
-// Terms bound what a version that may be bad gets.
+// Terms limit the requests that go to a new version, which may be bad.
 type Terms struct {
-	// Share of a service's requests may go to it over all hosts, and Slack more.
+	// Share is the share of a service's requests, over all hosts, that may go to the new
+	// version, and Slack the number of requests beyond that.
 	Share float64
 	Slack float64
-	// RollBack is the time after which it must get nothing once it has shown that it is
-	// bad.
+	// RollBack is the time within which the new version must stop getting requests once it
+	// has proved to be bad.
 	RollBack time.Duration
 }
 
 const (
-	// permitPart of Terms.RollBack is how long a permit is valid: a host that receives no
-	// other sends nothing to the new version.
-	permitPart = 0.3
-	// shareMargin of Terms.Share is used: other hosts may count a request that reached no
-	// server. slackPart of Terms.Slack is divided among the hosts; all of them may start
-	// again once and spend theirs anew.
+	// permitValidity is how long a permit is valid, as a part of Terms.RollBack. A host that
+	// does not receive another one in that time stops sending to the new version.
+	permitValidity = 0.3
+	// shareMargin is the part of Terms.Share that is used, as other hosts may count requests
+	// that reached no server. slackShare is the part of Terms.Slack that is divided among the
+	// hosts, as all of them may restart once and use theirs again.
 	shareMargin = 0.8
-	slackPart   = 0.5
-	// firstPart of the share goes to the new version until it has given firstAnswers, or
-	// firstTime of the duration is over, and secondPart until secondAnswers or secondTime.
-	firstPart, secondPart       = 0.25, 0.5
-	firstAnswers, secondAnswers = 20, 60
-	firstTime, secondTime       = 0.08, 0.2
-	// leastAnswers of the new version are needed to move to it.
-	leastAnswers = 12
-	// moveShare of the duration, and no more than mostMove, is left at the end for moving:
-	// requests at the old version have to end. What turns bad only then is not found.
-	moveShare = 0.25
-	mostMove  = 10 * time.Second
-	// writeMargin is left at the end for the store.
-	writeMargin = 500 * time.Millisecond
+	slackShare  = 0.5
+	// The new version gets firstStepShare of its share until it has given firstStepAnswers, or
+	// firstStepTime, a part of the duration, is over. It then gets secondStepShare until
+	// secondStepAnswers or secondStepTime, and the whole share after that.
+	firstStepShare, secondStepShare     = 0.25, 0.5
+	firstStepAnswers, secondStepAnswers = 20, 60
+	firstStepTime, secondStepTime       = 0.08, 0.2
+	// minAnswers is how many answers of the new version are needed to move all requests to it.
+	minAnswers = 12
+	// shiftShare is the part of the duration, up to maxShiftTime, that is reserved at the end
+	// for moving all requests, as those at the old version have to end. A version that turns
+	// bad only then is not detected.
+	shiftShare   = 0.25
+	maxShiftTime = 10 * time.Second
+	// storeMargin is the time reserved at the end for writing to the store.
+	storeMargin = 500 * time.Millisecond
 )
 
-// move is one order as a host sees it.
-type move struct {
+// release is one ordered canary release as a host sees it.
+type release struct {
 	order   Order
 	machine *fsm.FSM
-	// began is when the order came to be known, here or at the host that decides.
-	began time.Time
-	// permit is the last one of the host that decides.
-	permit     Permit
-	permitted  time.Time
-	generation int64
-	// sent and exposed count this host's requests since the order, and those of them to
-	// the new version.
-	sent, exposed int64
-	// own counts this host's answers, and peers those of the others.
-	own     sums
-	peers   map[peer]sums
-	history history
-	// worse is set once the answers have shown that the new version is bad.
+	// startedAt is when the order was received, by this host or by the lease holder if that
+	// was earlier.
+	startedAt time.Time
+	// permit is the last one from the lease holder, received at permittedAt. generation is the
+	// fencing token of that holder.
+	permit      Permit
+	permittedAt time.Time
+	generation  int64
+	// requests counts this host's requests since the order, and targetRequests those of them
+	// that went to the new version.
+	requests, targetRequests int64
+	// ownCounts holds the counts of this host's answers, and peerCounts those of the others.
+	ownCounts  routeCounts
+	peerCounts map[peer]routeCounts
+	history    history
+	// worse is set once the answers have shown that the new version is bad. evidence and route
+	// are the result of the last evaluation.
 	worse    bool
 	evidence float64
-	route    key
+	route    routeHash
 }
 
-// peer is one start of another host. A host that starts again counts anew, beside what it
-// counted before.
+// peer is one incarnation of another host. A host that restarts counts from zero again, and
+// its earlier counts are kept.
 type peer struct {
 	host        string
 	incarnation uint64
 }
 
-// Permit allows hosts to send requests to the new version; the host that decides renews it.
+// Permit allows hosts to send requests to the new version. The holder of the lease for
+// canary releases renews it.
 type Permit struct {
 	Offset int64
-	// Generation is the fencing token of the host's lease.
+	// Generation is the fencing token of the holder's lease.
 	Generation int64
-	// Share is the part of each host's requests that may go to the new version, and Extra
-	// the number of them beside it; 1 moves all.
+	// Share is the share of each host's requests that may go to the new version, and Extra
+	// the number of requests beyond that. A share of 1 moves all requests.
 	Share float64
 	Extra int
-	// Elapsed is the time since the order.
+	// Elapsed is the time since the order was received.
 	Elapsed time.Duration
 }
 
-func newMove(o Order, now time.Time) *move {
-	return &move{order: o, machine: newMachine(), began: now, own: sums{}, peers: map[peer]sums{}}
+func newRelease(o Order, now time.Time) *release {
+	return &release{order: o, machine: newMachine(), startedAt: now, ownCounts: routeCounts{}, peerCounts: map[peer]routeCounts{}}
 }
 
-func (m *move) over() bool { return m.machine.Is(StateDone) || m.machine.Is(StateRolledBack) }
+func (r *release) finished() bool { return r.machine.Is(StateDone) || r.machine.Is(StateRolledBack) }
 
-// sums returns what the answers at all hosts showed.
-func (m *move) sums() sums {
-	all := m.own.clone()
-	for _, p := range m.peers {
+// totals returns the counts of the answers at all hosts.
+func (r *release) totals() routeCounts {
+	all := r.ownCounts.clone()
+	for _, p := range r.peerCounts {
 		for k, v := range p {
-			both := all.of(k)
-			both.old.add(v.old, 1)
-			both.target.add(v.target, 1)
+			pair := all.get(k)
+			pair.old.add(v.old, 1)
+			pair.target.add(v.target, 1)
 		}
 	}
 	return all
 }
 
-// judge looks at the answers so far.
-func (m *move) judge(servers int, now time.Time) {
-	if m.worse || m.over() {
+// evaluate compares the answers of both versions so far.
+func (r *release) evaluate(servers int, now time.Time) {
+	if r.worse || r.finished() {
 		return
 	}
-	all := m.sums()
-	m.evidence, m.route = m.history.worst(all, servers)
-	m.history.note(all, now)
-	if m.evidence >= certainty {
-		m.worse = true
+	all := r.totals()
+	r.evidence, r.route = r.history.strongestEvidence(all, servers)
+	r.history.record(all, now)
+	if r.evidence >= evidenceThreshold {
+		r.worse = true
 	}
 }
 
-// receivePermit stores a permit; one of an older generation changes nothing.
-func (m *move) receivePermit(p Permit, now time.Time) {
-	if m.over() || p.Offset != m.order.Offset || p.Generation < m.generation {
+// receivePermit records a permit, unless it belongs to an older generation or another order.
+func (r *release) receivePermit(p Permit, now time.Time) {
+	if r.finished() || p.Offset != r.order.Offset || p.Generation < r.generation {
 		return
 	}
-	m.generation, m.permit, m.permitted = p.Generation, p, now
-	if earlier := now.Add(-p.Elapsed); earlier.Before(m.began) {
-		m.began = earlier
+	r.generation, r.permit, r.permittedAt = p.Generation, p, now
+	if earlier := now.Add(-p.Elapsed); earlier.Before(r.startedAt) {
+		r.startedAt = earlier
 	}
 	if p.Share >= 1 {
-		statemachine.Fire(m.machine, eventMove)
+		statemachine.Fire(r.machine, eventShift)
 	} else {
-		statemachine.Fire(m.machine, eventPermit)
+		statemachine.Fire(r.machine, eventPermit)
 	}
 }
 
-// share returns the part of this host's requests that may go to the new version now, and how
-// many may besides.
-func (m *move) share(t Terms, now time.Time) (share float64, extra int) {
-	fresh := now.Sub(m.permitted) < time.Duration(permitPart*float64(t.RollBack))
-	if m.worse || m.permitted.IsZero() || !fresh {
+// share returns the share of this host's requests that may go to the new version now, and the
+// number of requests beyond that.
+func (r *release) share(t Terms, now time.Time) (share float64, extra int) {
+	valid := now.Sub(r.permittedAt) < time.Duration(permitValidity*float64(t.RollBack))
+	if r.worse || r.permittedAt.IsZero() || !valid {
 		return 0, 0
 	}
-	return m.permit.Share, m.permit.Extra
+	return r.permit.Share, r.permit.Extra
 }
 
-// Situation is what the host that decides knows of a service's servers.
+// Situation is the state of a service's servers, as far as the lease holder knows.
 type Situation struct {
-	// Targets and Olds are the ready servers with the new version and with others, and
-	// TargetSlots the requests that the former run at once.
+	// Targets and Olds are the numbers of ready servers with the new version and with other
+	// versions, and TargetSlots how many requests the former run concurrently.
 	Targets, Olds, TargetSlots int
-	// Running requests of all hosts are not finished; OldRunning are at the old version.
+	// Running is the number of unfinished requests of all hosts, and OldRunning of those at
+	// the old version.
 	Running, OldRunning int
-	// Hosts send requests, those that are not heard included.
+	// Hosts is the number of hosts that send requests, including those from which no
+	// heartbeats are received.
 	Hosts int
 }
 
-// Decision is what to do about a move now.
+// Decision is what to do about a canary release now.
 type Decision struct {
-	// State is StateDone or StateRolledBack once it is decided, or "".
+	// State is StateDone or StateRolledBack once the outcome is decided, until then "".
 	State  string
 	Reason string
-	// Share and Extra are what each host may send to the new version until then.
+	// Share and Extra are what each host may send to the new version until then; see Permit.
 	Share float64
 	Extra int
 }
 
-// decide returns what the host that decides does now.
-func (m *move) decide(t Terms, s Situation, now time.Time) Decision {
-	elapsed := now.Sub(m.began)
-	all := m.sums()
-	answers := all.of(0).target.Answers
-	movingFrom := m.order.Duration - min(mostMove, time.Duration(moveShare*float64(m.order.Duration)))
+// decide returns the decision for the lease holder to carry out now.
+func (r *release) decide(t Terms, s Situation, now time.Time) Decision {
+	elapsed := now.Sub(r.startedAt)
+	all := r.totals()
+	answers := all.get(0).target.Answers
+	shiftStart := r.order.Duration - min(maxShiftTime, time.Duration(shiftShare*float64(r.order.Duration)))
 	switch {
-	case m.worse:
+	case r.worse:
 		return Decision{State: StateRolledBack, Reason: "answers show that the new version is worse"}
-	case elapsed >= m.order.Duration && !m.machine.Is(StateMoving):
-		return Decision{State: StateRolledBack, Reason: "not moved in time: " + m.lacking(all, s)}
+	case elapsed >= r.order.Duration && !r.machine.Is(StateMoving):
+		return Decision{State: StateRolledBack, Reason: "not moved in time: " + r.unmetCondition(all, s)}
 	case s.Olds == 0 && s.Targets > 0 && s.OldRunning == 0:
 		return Decision{State: StateDone, Reason: "no other version is left"}
-	case m.machine.Is(StateMoving) && (s.OldRunning == 0 || elapsed >= m.order.Duration-writeMargin):
+	case r.machine.Is(StateMoving) && (s.OldRunning == 0 || elapsed >= r.order.Duration-storeMargin):
 		return Decision{State: StateDone, Reason: "all requests moved"}
-	case m.machine.Is(StateMoving), elapsed >= movingFrom && m.lacking(all, s) == "":
+	case r.machine.Is(StateMoving), elapsed >= shiftStart && r.unmetCondition(all, s) == "":
 		return Decision{Share: 1}
 	case s.Targets == 0:
 		return Decision{}
 	default:
 		return Decision{
-			Share: t.Share * shareMargin * part(answers, float64(elapsed)/float64(m.order.Duration)),
-			Extra: int(t.Slack * slackPart / float64(max(1, s.Hosts))),
+			Share: t.Share * shareMargin * stepShare(answers, float64(elapsed)/float64(r.order.Duration)),
+			Extra: int(t.Slack * slackShare / float64(max(1, s.Hosts))),
 		}
 	}
 }
 
-// part returns the step of the share after so many answers and that part of the duration.
-func part(answers int64, elapsed float64) float64 {
+// stepShare returns the part of the share that the new version gets after a number of answers
+// and a part of the duration.
+func stepShare(answers int64, elapsed float64) float64 {
 	switch {
-	case answers < firstAnswers && elapsed < firstTime:
-		return firstPart
-	case answers < secondAnswers && elapsed < secondTime:
-		return secondPart
+	case answers < firstStepAnswers && elapsed < firstStepTime:
+		return firstStepShare
+	case answers < secondStepAnswers && elapsed < secondStepTime:
+		return secondStepShare
 	default:
 		return 1
 	}
 }
 
-// lacking says what keeps the service from being moved, or "".
-func (m *move) lacking(all sums, s Situation) string {
-	both := all.of(0)
+// unmetCondition describes what prevents moving all requests to the new version, or returns "".
+func (r *release) unmetCondition(all routeCounts, s Situation) string {
+	pair := all.get(0)
 	switch {
 	case s.Targets == 0:
 		return "no server with the new version is ready"
 	case s.TargetSlots < s.Running:
 		return "too few servers with the new version are ready"
-	case both.target.Answers < leastAnswers && both.old.Answers >= leastAnswers:
+	case pair.target.Answers < minAnswers && pair.old.Answers >= minAnswers:
 		return "too few answers of the new version"
 	default:
 		return ""
--- a/internal/canary/simulate_test.go
+++ b/internal/canary/simulate_test.go
@@ -19,38 +19,38 @@
 	simService  = "redactor"
 )
 
-// version is how one version answers.
-type version struct {
+// versionModel describes how the servers of a version answer: failures and slow are the shares
+// of failed and of slow answers.
+type versionModel struct {
 	failures float64
 	slow     float64
-	// from is when its faults begin, route the only one that has them, or "", and onlyFrom
-	// the requests a second at one server from which it has them.
+	// from is when the faults begin; route, if not "", is the only one that has them.
 	from  time.Duration
 	route string
 }
 
-// simMove is one simulated move of a service over some hosts that hear each other a tick
-// later.
-type simMove struct {
+// simRelease is a simulated canary release of a service. The hosts receive each other's reports
+// once per tick.
+type simRelease struct {
 	hosts     []*Table
 	rng       *rand.Rand
 	now       time.Time
 	perSecond float64
 	servers   int
-	old, next version
-	// bad counts bad answers of the new version that were known when the last request was sent to it,
-	// and total and exposed the requests.
+	old, next versionModel
+	// bad counts the bad answers of the new version; total counts the requests to both versions,
+	// and exposed those to the new one.
 	bad, total, exposed int
 	lastSent            time.Time
-	badAt               []time.Time
+	badTimes            []time.Time
 	state               string
 	took                time.Duration
 }
 
-func newSimMove(hosts int, perSecond float64, old, next version, seed uint64) *simMove {
+func newSimRelease(hosts int, perSecond float64, old, next versionModel, seed uint64) *simRelease {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	s := &simMove{rng: rand.New(rand.NewPCG(seed, 7)), now: time.Unix(1_000_000, 0), perSecond: perSecond, servers: 60, old: old, next: next}
+	s := &simRelease{rng: rand.New(rand.NewPCG(seed, 7)), now: time.Unix(1_000_000, 0), perSecond: perSecond, servers: 60, old: old, next: next}
 	for range hosts {
 		t := NewTable(Terms{Share: 0.1, Slack: 50, RollBack: 5 * time.Second}, log)
 		t.Ordered(Order{Service: simService, Target: "v2", Duration: simDuration, Offset: 7}, s.now)
@@ -59,8 +59,8 @@
 	return s
 }
 
-// run plays the whole move; the first host holds the lease.
-func (s *simMove) run() {
+// run simulates the whole release; the first host holds the lease.
+func (s *simRelease) run() {
 	began := s.now
 	situation := Situation{Targets: s.servers, Olds: s.servers, TargetSlots: 16 * s.servers, Running: 50, Hosts: len(s.hosts)}
 	for s.state == "" && s.now.Sub(began) < simDuration+time.Second {
@@ -73,7 +73,7 @@
 			if i != 0 {
 				continue
 			}
-			if t.hasMoved(simService) {
+			if t.isShifting(simService) {
 				situation.OldRunning = 0
 			} else {
 				situation.OldRunning = 40
@@ -86,25 +86,26 @@
 			}
 			s.state, s.took = d.State, s.now.Sub(began)
 		}
-		s.tell()
+		s.exchange()
 		s.now = s.now.Add(simTick)
 	}
 }
 
-func (t *Table) hasMoved(name string) bool {
+func (t *Table) isShifting(name string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.services[name].move.machine.Is(StateMoving)
+	return t.services[name].release.machine.Is(StateMoving)
 }
 
-func (s *simMove) chance(p float64) int {
+func (s *simRelease) chance(p float64) int {
 	if s.rng.Float64() < p {
 		return 1
 	}
 	return 0
 }
 
-func (s *simMove) tell() {
+// exchange sends the permits of the first host and the new answers of each host to the others.
+func (s *simRelease) exchange() {
 	if len(s.hosts) == 1 {
 		return
 	}
@@ -125,7 +126,7 @@
 	}
 }
 
-func (s *simMove) request(t *Table, at time.Duration) {
+func (s *simRelease) request(t *Table, at time.Duration) {
 	side := t.Choose(simService, s.now)
 	t.Sent(simService)
 	s.total++
@@ -146,53 +147,56 @@
 	}
 	if side.Target && (a.Failed || slow) {
 		s.bad++
-		s.badAt = append(s.badAt, s.now)
+		s.badTimes = append(s.badTimes, s.now)
 	}
 	t.Ended(simService, name, a)
 }
 
-// checkExposure checks the bounds of a version that may be bad.
-func (s *simMove) checkExposure(t *testing.T) {
+// checkExposure checks, unless the new version is released, that the requests to the new version stay
+// within their limits.
+func (s *simRelease) checkExposure(t *testing.T) {
 	t.Helper()
 	if s.state == StateDone {
 		return
 	}
-	if most := 0.1*float64(s.total) + 50; float64(s.exposed) > most {
+	if limit := 0.1*float64(s.total) + 50; float64(s.exposed) > limit {
 		t.Errorf("%d of %d requests went to the new version", s.exposed, s.total)
 	}
-	if len(s.badAt) >= 50 && s.lastSent.Sub(s.badAt[49]) > 5*time.Second {
-		t.Errorf("a request was sent %v after the 50th bad answer", s.lastSent.Sub(s.badAt[49]))
+	if len(s.badTimes) >= 50 && s.lastSent.Sub(s.badTimes[49]) > 5*time.Second {
+		t.Errorf("a request was sent %v after the 50th bad answer", s.lastSent.Sub(s.badTimes[49]))
 	}
 }
 
-// TestGoodVersionsAreMovedTo: within their time, whatever the usual failures of the service.
-// MOVES sets the number of simulated moves.
-func TestGoodVersionsAreMovedTo(t *testing.T) {
-	moves := 60
+// TestGoodVersionsAreReleased checks that releases of versions no worse than the old one are
+// done in time, at several rates of failures and slow answers of the service. The environment
+// variable MOVES sets the number of simulated releases.
+func TestGoodVersionsAreReleased(t *testing.T) {
+	releases := 60
 	if n, err := strconv.Atoi(os.Getenv("MOVES")); err == nil {
-		moves = n
+		releases = n
 	}
 	wrong := 0
-	for seed := range moves {
-		usual := version{failures: []float64{0, 0.005, 0.14}[seed%3], slow: []float64{0.01, 0.1}[seed%2]}
-		s := newSimMove(1, []float64{40, 200, 1000}[seed/6%3], usual, usual, uint64(seed))
+	for seed := range releases {
+		usual := versionModel{failures: []float64{0, 0.005, 0.14}[seed%3], slow: []float64{0.01, 0.1}[seed%2]}
+		s := newSimRelease(1, []float64{40, 200, 1000}[seed/6%3], usual, usual, uint64(seed))
 		s.run()
 		if s.state != StateDone || s.took > simDuration {
 			wrong++
 			t.Logf("seed %d: %q after %v, %d bad answers of %d", seed, s.state, s.took, s.bad, s.exposed)
 		}
 	}
-	t.Logf("%d of %d good versions were not moved to", wrong, moves)
+	t.Logf("%d of %d good versions were not released", wrong, releases)
 	if wrong > 0 {
-		t.Errorf("%d of %d good versions were not moved to", wrong, moves)
+		t.Errorf("%d of %d good versions were not released", wrong, releases)
 	}
 }
 
-// TestBadVersionsAreFound: by their failures or slow answers, at once or later, on all routes
-// or one, over any number of hosts; what they get stays in bounds.
-func TestBadVersionsAreFound(t *testing.T) {
-	usual := version{failures: 0.005, slow: 0.02}
-	for name, bad := range map[string]version{
+// TestBadVersionsAreRolledBack checks that versions with failures or slow answers, from the start
+// or later, on all routes or on one, are rolled back with any number of hosts, and that the
+// requests they get stay within the limits.
+func TestBadVersionsAreRolledBack(t *testing.T) {
+	usual := versionModel{failures: 0.005, slow: 0.02}
+	for name, bad := range map[string]versionModel{
 		"fails":            {failures: 0.3, slow: 0.02},
 		"slow":             {failures: 0.005, slow: 0.5},
 		"fails later":      {failures: 0.4, slow: 0.02, from: 8 * time.Second},
@@ -202,30 +206,30 @@
 		for _, hosts := range []int{1, 9, 60} {
 			t.Run(fmt.Sprint(name, " ", hosts), func(t *testing.T) {
 				t.Parallel()
-				most, sum := 0, 0
+				maxBad, sum := 0, 0
 				const runs = 6
 				for seed := range runs {
-					s := newSimMove(hosts, 400, usual, bad, uint64(100+seed))
+					s := newSimRelease(hosts, 400, usual, bad, uint64(100+seed))
 					s.run()
 					if s.state != StateRolledBack {
 						t.Errorf("seed %d: %q, %d bad answers of %d", seed, s.state, s.bad, s.exposed)
 					}
 					s.checkExposure(t)
-					most, sum = max(most, s.bad), sum+s.bad
+					maxBad, sum = max(maxBad, s.bad), sum+s.bad
 				}
-				t.Logf("rolled back after %.1f bad answers in the mean, %d at the most", float64(sum)/runs, most)
-				if most > 50 {
-					t.Errorf("rolled back after %d bad answers", most)
+				t.Logf("rolled back after %.1f bad answers in the mean, %d at the most", float64(sum)/runs, maxBad)
+				if maxBad > 50 {
+					t.Errorf("rolled back after %d bad answers", maxBad)
 				}
 			})
 		}
 	}
 }
 
-// TestPermissionEnds: a host that hears nothing of the one that decides sends nothing to the
-// new version, long before it has to.
-func TestPermissionEnds(t *testing.T) {
-	s := newSimMove(2, 400, version{}, version{}, 1)
+// TestPermitExpires checks that a host which receives no permits from the lease holder stops
+// sending requests to the new version, well before the time to roll back is over.
+func TestPermitExpires(t *testing.T) {
+	s := newSimRelease(2, 400, versionModel{}, versionModel{}, 1)
 	for range 40 {
 		for i, host := range s.hosts {
 			for range 30 {
@@ -238,16 +242,16 @@
 				}
 			}
 		}
-		s.tell()
+		s.exchange()
 		s.now = s.now.Add(simTick)
 	}
-	cutOff := s.hosts[1]
+	isolated := s.hosts[1]
 	exposed := func() (n int) {
 		for range 200 {
-			if cutOff.Choose(simService, s.now).Target {
+			if isolated.Choose(simService, s.now).Target {
 				n++
 			}
-			cutOff.Sent(simService)
+			isolated.Sent(simService)
 		}
 		return n
 	}
@@ -256,6 +260,6 @@
 	}
 	s.now = s.now.Add(5 * time.Second / 3)
 	if n := exposed(); n > 0 {
-		t.Errorf("%d requests go to the new version without a word of the host that decides", n)
+		t.Errorf("%d requests go to the new version without a permit from the lease holder", n)
 	}
 }
--- a/internal/canary/table.go
+++ b/internal/canary/table.go
@@ -14,147 +14,149 @@
 	"github.com/briarlink/briarlink/internal/statemachine"
 )
 
-// Status is what the store keeps of a service's last order.
+// Status is the record of a service's last order in the store.
 type Status struct {
 	Service string
 	Target  string
-	// State is StateRunning until it is decided.
+	// State is StateRunning until the outcome is decided.
 	State string
-	// Offset is the order's, and Generation the fencing token of the host that wrote it.
+	// Offset is the offset of the order, and Generation the fencing token of the host that
+	// wrote the status.
 	Offset     int64
 	Generation int64
-	// Began is when the order came to be known, by the time of day of that host.
+	// Began is when the release started, by the wall clock of that host.
 	Began time.Time
-	// Excluded versions get no requests: those that were rolled back, overtaken, or moved
-	// away from.
+	// Excluded lists the versions that get no requests: those that were rolled back or
+	// replaced, or whose release was superseded.
 	Excluded []string
 }
 
-// service is what is known of one service's moves.
-type service struct {
-	move   *move
-	status Status
+// serviceState is the last order for a service and its status in the store.
+type serviceState struct {
+	release *release
+	status  Status
 }
 
-// Table holds the moves of all services. It is safe for concurrent use; mu is its only
-// lock, and nothing else is locked under it.
+// Table holds the canary releases of all services. It is safe for concurrent use; mu is its
+// only lock, and no other lock is taken while it is held.
 type Table struct {
 	terms Terms
 	log   *logrus.Logger
 
 	mu       sync.Mutex
-	services map[string]*service
-	// untold is set while others have not been told of this host's newest answers.
-	untold bool
+	services map[string]*serviceState
+	// unreported is set while other hosts have not been sent this host's newest answers.
+	unreported bool
 }
 
-// NewTable returns a table without moves.
+// NewTable returns a table without canary releases.
 func NewTable(terms Terms, log *logrus.Logger) *Table {
-	return &Table{terms: terms, log: log, services: map[string]*service{}}
+	return &Table{terms: terms, log: log, services: map[string]*serviceState{}}
 }
 
-func (t *Table) service(name string) *service {
+func (t *Table) getOrCreate(name string) *serviceState {
 	s := t.services[name]
 	if s == nil {
-		s = &service{}
+		s = &serviceState{}
 		t.services[name] = s
 	}
 	return s
 }
 
-// Ordered takes an operators' order. An older one changes nothing; a newer one overtakes
-// the one before.
+// Ordered applies an operators' order. An older one than the current is ignored; a newer one
+// supersedes it.
 func (t *Table) Ordered(o Order, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	s := t.service(o.Service)
-	if s.move != nil && s.move.order.Offset >= o.Offset {
+	s := t.getOrCreate(o.Service)
+	if s.release != nil && s.release.order.Offset >= o.Offset {
 		return
 	}
-	line := t.log.WithFields(logrus.Fields{"service": o.Service, "target": o.Target, "ms": o.Duration.Milliseconds(), "offset": o.Offset})
-	if s.move != nil && !s.move.over() {
-		line = line.WithField("overtaken", s.move.order.Target)
-		s.status.Excluded = excluded(s.status.Excluded).with(s.move.order.Target)
+	entry := t.log.WithFields(logrus.Fields{"service": o.Service, "target": o.Target, "ms": o.Duration.Milliseconds(), "offset": o.Offset})
+	if s.release != nil && !s.release.finished() {
+		entry = entry.WithField("overtaken", s.release.order.Target)
+		s.status.Excluded = excluded(s.status.Excluded).with(s.release.order.Target)
 	}
-	s.move = newMove(o, now)
+	s.release = newRelease(o, now)
 	s.status.Excluded = excluded(s.status.Excluded).without(o.Target)
-	line.Info("move to another version ordered")
-	t.apply(s, now)
+	entry.Info("move to another version ordered")
+	t.applyStatus(s, now)
 }
 
-// Stored takes what the store keeps of a service.
+// Stored applies the status of a service in the store, unless it is out of date.
 func (t *Table) Stored(st Status, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	s := t.service(st.Service)
+	s := t.getOrCreate(st.Service)
 	older := st.Offset < s.status.Offset || st.Offset == s.status.Offset && st.Generation < s.status.Generation
 	if older || isFinal(s.status.State) && st.Offset == s.status.Offset {
 		return
 	}
 	s.status = st
-	t.apply(s, now)
+	t.applyStatus(s, now)
 }
 
 func isFinal(state string) bool { return state == StateDone || state == StateRolledBack }
 
-// apply puts what the store keeps of the last order in force.
-func (t *Table) apply(s *service, now time.Time) {
-	m := s.move
-	if m == nil || s.status.Offset != m.order.Offset || m.over() {
+// applyStatus applies the stored status of the last order to its release.
+func (t *Table) applyStatus(s *serviceState, now time.Time) {
+	r := s.release
+	if r == nil || s.status.Offset != r.order.Offset || r.finished() {
 		return
 	}
 	if !s.status.Began.IsZero() && s.status.State == StateRunning {
-		// Times of day differ; what another host wrote moves the beginning back at the most.
-		elapsed := min(m.order.Duration, max(0, now.Sub(s.status.Began)))
-		if began := now.Add(-elapsed); began.Before(m.began) {
-			m.began = began
+		// The wall clocks of hosts differ, so that a stored time may only move the start back.
+		elapsed := min(r.order.Duration, max(0, now.Sub(s.status.Began)))
+		if startedAt := now.Add(-elapsed); startedAt.Before(r.startedAt) {
+			r.startedAt = startedAt
 		}
 	}
 	event := map[string]string{StateDone: eventDone, StateRolledBack: eventRollBack}[s.status.State]
-	if event != "" && statemachine.Fire(m.machine, event) {
-		t.log.WithFields(logrus.Fields{"service": m.order.Service, "target": m.order.Target, "state": m.machine.Current()}).Info("move to another version is over")
+	if event != "" && statemachine.Fire(r.machine, event) {
+		t.log.WithFields(logrus.Fields{"service": r.order.Service, "target": r.order.Target, "state": r.machine.Current()}).Info("move to another version is over")
 	}
 }
 
-// Side says which servers a request may go to.
+// Side describes the servers that a request may go to.
 type Side struct {
-	// Allows reports whether servers with a version may get it; nil allows all.
+	// Allows reports whether servers with a version may get the request; nil allows all.
 	Allows func(version string) bool
-	// Target is set where it goes to the version that is tried, and Part is then the part of
-	// its servers that get the share of the requests: they are to be as busy as all will
-	// be.
+	// Target is set if the request goes to the new version. Part, if not 0, is the part of
+	// that version's servers that get its share of the requests: they are to be as busy as
+	// all of them will be after the release.
 	Target bool
 	Part   float64
 }
 
-// Servers returns those that may get the request, of servers with an ID and a version.
-func Servers[S any](side *Side, servers []S, of func(S) (id, version string)) []S {
+// Servers returns those of the given servers that may get the request. identify returns a
+// server's ID and version.
+func Servers[S any](side *Side, servers []S, identify func(S) (id, version string)) []S {
 	if side.Allows == nil {
 		return servers
 	}
 	var out []S
 	for _, s := range servers {
-		if _, version := of(s); side.Allows(version) {
+		if _, version := identify(s); side.Allows(version) {
 			out = append(out, s)
 		}
 	}
 	if side.Part == 0 {
 		return out
 	}
-	order := func(s S) uint64 {
-		id, _ := of(s)
+	hash := func(s S) uint64 {
+		id, _ := identify(s)
 		return xxh3.HashString(id)
 	}
-	slices.SortFunc(out, func(a, b S) int { return cmp.Compare(order(a), order(b)) })
-	return out[:max(int(math.Ceil(side.Part*float64(len(out)))), min(len(out), badServers))]
+	slices.SortFunc(out, func(a, b S) int { return cmp.Compare(hash(a), hash(b)) })
+	return out[:max(int(math.Ceil(side.Part*float64(len(out)))), min(len(out), minBadServers))]
 }
 
-// triedPart is how much larger the part of the servers is than that of the requests, as
-// they are of unlike speed and some may be down.
-const triedPart = 2
+// serverShareFactor is the ratio of the part of the new version's servers that get requests to
+// its share of the requests. It is above 1 as servers differ in speed and some may be down.
+const serverShareFactor = 2
 
-// Choose returns where the next request of a service goes, and counts it where that is the
-// version that is tried. Sent follows once it is sent, or Withdraw.
+// Choose returns which servers the next request of a service may go to, and counts the request
+// if that is the new version. Withdraw undoes the count; Sent follows once the request is sent.
 func (t *Table) Choose(name string, now time.Time) Side {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -162,81 +164,81 @@
 	if s == nil {
 		return Side{}
 	}
-	out := excluded(s.status.Excluded)
-	m := s.move
-	if m == nil || m.over() {
-		if m != nil && m.machine.Is(StateRolledBack) {
-			out = out.with(m.order.Target)
+	excludedVersions := excluded(s.status.Excluded)
+	r := s.release
+	if r == nil || r.finished() {
+		if r != nil && r.machine.Is(StateRolledBack) {
+			excludedVersions = excludedVersions.with(r.order.Target)
 		}
-		return Side{Allows: func(version string) bool { return !slices.Contains(out, version) }}
+		return Side{Allows: func(version string) bool { return !slices.Contains(excludedVersions, version) }}
 	}
-	target := m.order.Target
-	share, extra := m.share(t.terms, now)
+	target := r.order.Target
+	share, extra := r.share(t.terms, now)
 	switch {
 	case share >= 1:
 		return Side{Target: true, Allows: func(version string) bool { return version == target }}
-	case float64(m.exposed+1) <= share*float64(m.sent+1)+float64(extra):
-		m.exposed++
-		return Side{Target: true, Part: min(1, triedPart*t.terms.Share), Allows: func(version string) bool { return version == target }}
+	case float64(r.targetRequests+1) <= share*float64(r.requests+1)+float64(extra):
+		r.targetRequests++
+		return Side{Target: true, Part: min(1, serverShareFactor*t.terms.Share), Allows: func(version string) bool { return version == target }}
 	default:
-		return Side{Allows: func(version string) bool { return version != target && !slices.Contains(out, version) }}
+		return Side{Allows: func(version string) bool { return version != target && !slices.Contains(excludedVersions, version) }}
 	}
 }
 
-// Sent counts a request of a service, to any version.
+// Sent counts a request of a service that was sent to any version.
 func (t *Table) Sent(name string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if s := t.services[name]; s != nil && s.move != nil {
-		s.move.sent++
+	if s := t.services[name]; s != nil && s.release != nil {
+		s.release.requests++
 	}
 }
 
-// Withdraw takes back that a request went to the version that is tried: none of its
-// servers could take it. It goes to the others.
+// Withdraw undoes the count of a request to the new version, none of whose servers could accept
+// it. It returns the servers with other versions, to which the request may go instead.
 func (t *Table) Withdraw(name string) Side {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := t.services[name]
-	if s == nil || s.move == nil {
+	if s == nil || s.release == nil {
 		return Side{}
 	}
-	s.move.exposed = max(0, s.move.exposed-1)
-	target, out := s.move.order.Target, s.status.Excluded
-	return Side{Allows: func(version string) bool { return version != target && !slices.Contains(out, version) }}
+	s.release.targetRequests = max(0, s.release.targetRequests-1)
+	target, excludedVersions := s.release.order.Target, s.status.Excluded
+	return Side{Allows: func(version string) bool { return version != target && !slices.Contains(excludedVersions, version) }}
 }
 
-// Ended takes an answer of a server with a version.
+// Ended records an answer of a server with a version.
 func (t *Table) Ended(name, version string, a Answer) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := t.services[name]
-	if s == nil || s.move == nil || s.move.over() {
+	if s == nil || s.release == nil || s.release.finished() {
 		return
 	}
-	a.Target = version == s.move.order.Target
+	a.Target = version == s.release.order.Target
 	hash := xxh3.HashString(a.Server)
-	for _, k := range []key{0, routeKey(a.Route)} {
-		both := s.move.own.of(k)
+	for _, route := range []routeHash{0, hashRoute(a.Route)} {
+		pair := s.release.ownCounts.get(route)
 		if a.Target {
-			both.target.take(a, hash)
+			pair.target.record(a, hash)
 		} else {
-			both.old.take(a, hash)
+			pair.old.record(a, hash)
 		}
 	}
-	t.untold = true
+	t.unreported = true
 }
 
-// routeKey is never 0, which stands for all routes.
-func routeKey(route string) key { return key(uint32(xxh3.HashString(route)) | 1) }
+// hashRoute returns the hash of a route's name. It is never 0, which stands for all routes.
+func hashRoute(route string) routeHash { return routeHash(uint32(xxh3.HashString(route)) | 1) }
 
-// Active returns the services whose moves are not over.
+// Active returns the services with an unfinished canary release.
 func (t *Table) Active() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []string
 	for name, s := range t.services {
-		if s.move != nil && !s.move.over() {
+		if s.release != nil && !s.release.finished() {
 			out = append(out, name)
 		}
 	}
@@ -244,117 +246,120 @@
 	return out
 }
 
-// Target returns the version that a service is moved to, or "".
+// Target returns the version that the last order for a service releases, or "".
 func (t *Table) Target(name string) string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if s := t.services[name]; s != nil && s.move != nil {
-		return s.move.order.Target
+	if s := t.services[name]; s != nil && s.release != nil {
+		return s.release.order.Target
 	}
 	return ""
 }
 
-// Judge looks at the answers of a service so far. Each host does, and stops using a version
-// that it finds bad before it hears so.
+// Judge evaluates the answers of a service so far. targets is the number of servers with the
+// new version. Every host does this, and stops using a version that it finds bad without
+// waiting for the lease holder.
 func (t *Table) Judge(name string, targets int, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := t.services[name]
-	if s == nil || s.move == nil || s.move.worse {
+	if s == nil || s.release == nil || s.release.worse {
 		return
 	}
-	m := s.move
-	m.judge(targets, now)
-	if m.worse {
-		both := m.sums().of(m.route)
+	r := s.release
+	r.evaluate(targets, now)
+	if r.worse {
+		pair := r.totals().get(r.route)
 		t.log.WithFields(logrus.Fields{
-			"service": name, "target": m.order.Target, "evidence": m.evidence,
-			"answers": both.target.Answers, "failed": both.target.Failed, "old_answers": both.old.Answers, "old_failed": both.old.Failed,
+			"service": name, "target": r.order.Target, "evidence": r.evidence,
+			"answers": pair.target.Answers, "failed": pair.target.Failed, "old_answers": pair.old.Answers, "old_failed": pair.old.Failed,
 		}).Warn("new version found worse")
 	}
 }
 
-// Decide returns what the host that holds the lease does about a service, and the status
-// to write where it is decided. The permission counts for the host itself at once.
+// Decide returns the decision of the lease holder, whose fencing token is generation, on a
+// service, and the status to write to the store, if any. versions are the versions of the
+// service's servers. A permit takes effect on this host at once.
 func (t *Table) Decide(name string, generation int64, situation Situation, versions []string, now time.Time) (Decision, *Status) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := t.services[name]
-	if s == nil || s.move == nil || s.move.over() {
+	if s == nil || s.release == nil || s.release.finished() {
 		return Decision{}, nil
 	}
-	m := s.move
-	d := m.decide(t.terms, situation, now)
+	r := s.release
+	d := r.decide(t.terms, situation, now)
 	st := Status{
-		Service: name, Target: m.order.Target, State: StateRunning, Offset: m.order.Offset, Generation: generation,
-		Began: m.began, Excluded: s.status.Excluded,
+		Service: name, Target: r.order.Target, State: StateRunning, Offset: r.order.Offset, Generation: generation,
+		Began: r.startedAt, Excluded: s.status.Excluded,
 	}
 	switch d.State {
 	case StateDone:
 		st.State = d.State
 		for _, v := range versions {
-			if v != m.order.Target {
+			if v != r.order.Target {
 				st.Excluded = excluded(st.Excluded).with(v)
 			}
 		}
 		return d, &st
 	case StateRolledBack:
 		st.State = d.State
-		st.Excluded = excluded(st.Excluded).with(m.order.Target)
+		st.Excluded = excluded(st.Excluded).with(r.order.Target)
 		return d, &st
 	}
-	if s.status.Offset != m.order.Offset {
-		// Others must know from the store that the order is being carried out, before any
-		// request goes to the new version.
+	if s.status.Offset != r.order.Offset {
+		// The store must record that the release is running before any request goes to the
+		// new version.
 		return d, &st
 	}
-	m.receivePermit(Permit{Offset: m.order.Offset, Generation: generation, Share: d.Share, Extra: d.Extra, Elapsed: now.Sub(m.began)}, now)
+	r.receivePermit(Permit{Offset: r.order.Offset, Generation: generation, Share: d.Share, Extra: d.Extra, Elapsed: now.Sub(r.startedAt)}, now)
 	return d, nil
 }
 
-// Status returns the last orders for operators, by service.
+// Status returns the state of the last order of each service, for operators, sorted by service.
 func (t *Table) Status(now time.Time) []*pb.MoveStatus {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []*pb.MoveStatus
 	for name, s := range t.services {
-		if s.move == nil {
+		if s.release == nil {
 			continue
 		}
-		m := s.move
-		both := m.sums().of(0)
-		share, _ := m.share(t.terms, now)
+		r := s.release
+		pair := r.totals().get(0)
+		share, _ := r.share(t.terms, now)
 		out = append(out, &pb.MoveStatus{
-			Service: name, Target: m.order.Target, State: m.machine.Current(), Share: share,
-			ElapsedMs: now.Sub(m.began).Milliseconds(), DurationMs: m.order.Duration.Milliseconds(),
-			Answers: both.target.Answers, Failed: both.target.Failed, OldAnswers: both.old.Answers, OldFailed: both.old.Failed,
-			Evidence: m.evidence,
+			Service: name, Target: r.order.Target, State: r.machine.Current(), Share: share,
+			ElapsedMs: now.Sub(r.startedAt).Milliseconds(), DurationMs: r.order.Duration.Milliseconds(),
+			Answers: pair.target.Answers, Failed: pair.target.Failed, OldAnswers: pair.old.Answers, OldFailed: pair.old.Failed,
+			Evidence: r.evidence,
 		})
 	}
 	slices.SortFunc(out, func(a, b *pb.MoveStatus) int { return cmp.Compare(a.Service, b.Service) })
 	return out
 }
 
-// Permits returns the permissions of the host that holds the lease with a generation.
+// Permits returns the current permits of this host, the lease holder with a generation, to
+// send to other hosts.
 func (t *Table) Permits(generation int64, now time.Time) []*pb.MovePermit {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []*pb.MovePermit
 	for name, s := range t.services {
-		m := s.move
-		if m == nil || m.over() || m.generation != generation || now.Sub(m.permitted) > windowStep {
+		r := s.release
+		if r == nil || r.finished() || r.generation != generation || now.Sub(r.permittedAt) > windowStep {
 			continue
 		}
 		out = append(out, &pb.MovePermit{
-			Service: name, Offset: m.order.Offset, Generation: generation, Share: m.permit.Share,
-			Extra: int32(m.permit.Extra), ElapsedMs: now.Sub(m.began).Milliseconds(),
+			Service: name, Offset: r.order.Offset, Generation: generation, Share: r.permit.Share,
+			Extra: int32(r.permit.Extra), ElapsedMs: now.Sub(r.startedAt).Milliseconds(),
 		})
 	}
 	slices.SortFunc(out, func(a, b *pb.MovePermit) int { return cmp.Compare(a.Service, b.Service) })
 	return out
 }
 
-// ReceivePermits takes the permissions of another host.
+// ReceivePermits records the permits of another host.
 func (t *Table) ReceivePermits(permits []*pb.MovePermit, now time.Time) {
 	if len(permits) == 0 {
 		return
@@ -362,39 +367,39 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, p := range permits {
-		if s := t.services[p.Service]; s != nil && s.move != nil {
-			s.move.receivePermit(Permit{
+		if s := t.services[p.Service]; s != nil && s.release != nil {
+			s.release.receivePermit(Permit{
 				Offset: p.Offset, Generation: p.Generation, Share: p.Share, Extra: int(p.Extra), Elapsed: time.Duration(p.ElapsedMs) * time.Millisecond,
 			}, now)
 		}
 	}
 }
 
-// Answers returns what this host's answers showed since the orders, for the other hosts.
+// Answers returns the counts of this host's answers since the orders, to send to other hosts.
 func (t *Table) Answers() []*pb.MoveAnswers {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []*pb.MoveAnswers
 	for name, s := range t.services {
-		if s.move == nil || s.move.over() {
+		if s.release == nil || s.release.finished() {
 			continue
 		}
-		for k, both := range s.move.own {
-			out = append(out, &pb.MoveAnswers{Service: name, Offset: s.move.order.Offset, Route: uint32(k), Old: encode(both.old), Target: encode(both.target)})
+		for route, pair := range s.release.ownCounts {
+			out = append(out, &pb.MoveAnswers{Service: name, Offset: s.release.order.Offset, Route: uint32(route), Old: encodeCounts(pair.old), Target: encodeCounts(pair.target)})
 		}
 	}
-	t.untold = false
+	t.unreported = false
 	return out
 }
 
-// Untold reports whether others have not been told of this host's newest answers.
+// Untold reports whether this host's newest answers have not been sent to other hosts.
 func (t *Table) Untold() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.untold
+	return t.unreported
 }
 
-// ReceiveAnswers takes what another host's answers showed, in place of what it told before.
+// ReceiveAnswers records the counts of another host's answers, in place of its earlier ones.
 func (t *Table) ReceiveAnswers(host string, incarnation uint64, answers []*pb.MoveAnswers) {
 	if len(answers) == 0 {
 		return
@@ -403,22 +408,22 @@
 	defer t.mu.Unlock()
 	for _, a := range answers {
 		s := t.services[a.Service]
-		if s == nil || s.move == nil || s.move.order.Offset != a.Offset {
+		if s == nil || s.release == nil || s.release.order.Offset != a.Offset {
 			continue
 		}
-		from := peer{host, incarnation}
-		if s.move.peers[from] == nil {
-			s.move.peers[from] = sums{}
+		sender := peer{host, incarnation}
+		if s.release.peerCounts[sender] == nil {
+			s.release.peerCounts[sender] = routeCounts{}
 		}
-		s.move.peers[from][key(a.Route)] = &versions{old: decode(a.Old), target: decode(a.Target)}
+		s.release.peerCounts[sender][routeHash(a.Route)] = &versionPair{old: decodeCounts(a.Old), target: decodeCounts(a.Target)}
 	}
 }
 
-func encode(c Counts) *pb.VersionCounts {
+func encodeCounts(c Counts) *pb.VersionCounts {
 	return &pb.VersionCounts{Answers: c.Answers, Failed: c.Failed, Slow: c.Slow[:], Servers: c.Servers}
 }
 
-func decode(c *pb.VersionCounts) Counts {
+func decodeCounts(c *pb.VersionCounts) Counts {
 	out := Counts{Answers: c.GetAnswers(), Failed: c.GetFailed(), Servers: c.GetServers()}
 	copy(out.Slow[:], c.GetSlow())
 	return out
