--- a/internal/canary/rollout.go
+++ b/internal/canary/rollout.go
@@ -82,7 +82,8 @@
 	firstStepShare, secondStepShare     = 0.25, 0.5
 	firstStepAnswers, secondStepAnswers = 20, 60
 	firstStepTime, secondStepTime       = 0.08, 0.2
-	// minAnswers is how many answers of the new version are needed to move all requests to it.
+	// minAnswers is how many answers of the new version are needed to move all requests to
+	// it, provided that the old version has given as many.
 	minAnswers = 12
 	// shiftShare is the part of the duration, up to maxShiftTime, that is reserved at the end
 	// for moving all requests, as those at the old version have to end. A version that turns
--- a/internal/rollout/ask_test.go
+++ b/internal/rollout/ask_test.go
@@ -50,7 +50,8 @@
 }
 
 // flapping returns the reachability of a host that reaches the first replicas for a part of
-// each period, and the others always. The periods of the replicas differ by spread.
+// each period, and the others always. The periods of successive replicas are shifted by
+// spread.
 func flapping(replicaCount int, on, off, phase, spread time.Duration) reachability {
 	ids := replicas(replicaCount)
 	return func(id string, now time.Time) bool {
--- a/internal/rollout/lease.go
+++ b/internal/rollout/lease.go
@@ -18,8 +18,8 @@
 	"github.com/briarlink/briarlink/platform"
 )
 
-// Log is the part of the store that a lease uses.
-type Log interface {
+// LogStore is the part of the store that a lease uses.
+type LogStore interface {
 	Read(ctx context.Context, topic string, from int64, wait time.Duration) (platform.Page, error)
 	Append(ctx context.Context, topic string, rec platform.Record, at int64) (int64, error)
 }
@@ -72,7 +72,7 @@
 // follow its log and measure its time by their own monotonic clocks. It is safe for
 // concurrent use; mu is its only lock and is not held during a call to the store.
 type Lease struct {
-	store Log
+	store LogStore
 	log   *logrus.Logger
 	// Topic is the topic of the lease's log in the store; it is set before use.
 	Topic string
@@ -111,7 +111,7 @@
 
 // NewLease returns the lease as one process of a host sees it. It lasts for ttl after each
 // renewal.
-func NewLease(store Log, log *logrus.Logger, holder string, incarnation uint64, ttl time.Duration) *Lease {
+func NewLease(store LogStore, log *logrus.Logger, holder string, incarnation uint64, ttl time.Duration) *Lease {
 	return &Lease{store: store, log: log, Topic: platform.LeaseTopic, Purpose: "weights", holder: holder, incarnation: incarnation, ttl: ttl, Follows: func() bool { return true }, machine: newLeaseMachine()}
 }
 
--- a/internal/rollout/order.go
+++ b/internal/rollout/order.go
@@ -83,7 +83,7 @@
 }
 
 // drain keeps new requests away from the replica until it has prefilled the prompts that it
-// was sent, within minDrain and maxDrain.
+// was sent, for at least minDrain and at most maxDrain.
 func (l *Loader) drain(ctx context.Context, t loadTarget) {
 	began := clock.Now()
 	marked := time.Time{}
@@ -246,9 +246,10 @@
 }
 
 // cannotTakeEffect reports whether an order that the replica has not confirmed need not be
-// waited for: the replica has accepted other orders since, so that the order's sequence
-// number no longer matches, or it had enough time to arrive. Without the first condition a
-// host with an outdated count of a replica's orders would lose loadTimeout on each replica.
+// waited for: the replica is not loading, and it has either accepted other orders since, so
+// that the order's sequence number no longer matches, or had enough time to receive this one.
+// Without the check of the sequence number a host with an outdated count of a replica's orders
+// would lose loadTimeout on each replica.
 func cannotTakeEffect(report platform.EngineReport, sequence int64, waited time.Duration) bool {
 	if report.Loading {
 		return false
--- a/internal/rollout/turn.go
+++ b/internal/rollout/turn.go
@@ -20,8 +20,8 @@
 	// within 2 s. If only orders get lost, reports are still answered, and another host
 	// would do no better.
 	slowHostTimeout = 2500 * time.Millisecond
-	// yieldDelay is how long after its turn a host that has yielded the lease takes it
-	// again, so that as many others come first as follow the lease's log.
+	// yieldDelay postpones the turn of a host that has yielded the lease until all hosts that
+	// follow the lease's log have had theirs.
 	yieldDelay = 16 * rankDelay
 )
 
