--- a/internal/node/beliefs.go
+++ b/internal/node/beliefs.go
@@ -11,9 +11,9 @@
 	"github.com/briarlink/briarlink/platform"
 )
 
-// operatorRecord takes a record that operators wrote. One is told at a time, so that the
-// configuration which a newer one replaces is the one that it was compared with.
-func (n *Node) operatorRecord(rec platform.Record, from topic.Origin) {
+// applyOperatorRecord applies a record written by operators. Records are delivered one at a
+// time, so the configuration does not change between the version check and its replacement.
+func (n *Node) applyOperatorRecord(rec platform.Record, from topic.Origin) {
 	if c, ok, err := platform.DecodeConfig(rec); ok {
 		if err != nil {
 			n.log.WithError(err).WithField("offset", rec.Offset).Error("configuration not taken")
@@ -25,16 +25,16 @@
 			return
 		}
 		n.config.Store(c)
-		n.takeLimits(c)
+		n.applyLimits(c)
 		n.log.WithFields(logrus.Fields{
 			"version": c.Version, "offset": rec.Offset,
 			"routes": len(c.Routes), "organisations": len(c.Organisations), "keys": c.Keys(),
 		}).Info("configuration in force")
-		n.becomeReady()
-		n.beatNow()
+		n.markReady()
+		n.requestHeartbeatToAll()
 		return
 	}
-	n.moveOrdered(rec)
+	n.applyReleaseOrder(rec)
 	w, ok, err := platform.DecodeWeights(rec)
 	if err != nil {
 		n.log.WithError(err).WithField("offset", rec.Offset).Error("wanted weights not taken")
@@ -43,46 +43,45 @@
 	if !ok {
 		return
 	}
-	take := n.replicas.Want
+	want := n.replicas.Want
 	if from.First {
-		take = n.replicas.Find
+		want = n.replicas.Find
 	}
-	if take(w.Model, w.Version, clock.Now()) {
+	if want(w.Model, w.Version, clock.Now()) {
 		n.log.WithFields(logrus.Fields{"model": w.Model, "version": w.Version, "offset": rec.Offset}).Info("weights wanted")
-		n.beatNow()
+		n.requestHeartbeatToAll()
 	}
 }
 
-// replicaRecord takes a backend server's entry.
-func (n *Node) replicaRecord(rec platform.Record, from topic.Origin) {
+// applyReplicaRecord applies a backend server's registration or removal.
+func (n *Node) applyReplicaRecord(rec platform.Record, from topic.Origin) {
 	if rec.Removed {
 		n.replicas.Remove(rec.Key, from.Trusted)
-		n.beatNow()
+		n.requestHeartbeatToAll()
 		return
 	}
 	reg, err := platform.DecodeReplica(rec)
 	if err != nil {
-		n.noteMalformed(rec, err)
+		n.logMalformedEntry(rec, err)
 		return
 	}
 	n.replicas.Register(reg, rec.Offset)
 	if reg.Draining {
-		n.beatNow()
+		n.requestHeartbeatToAll()
 	}
 }
 
-// noteMalformed counts an entry that names no server. Another writer may make
-// many: one line in a second says why.
-func (n *Node) noteMalformed(rec platform.Record, err error) {
+// logMalformedEntry counts an entry that describes no server, and logs it at most once a second,
+// as another writer may produce many.
+func (n *Node) logMalformedEntry(rec platform.Record, err error) {
 	n.metrics.Malformed.Inc(1)
-	if others, ok := n.malformed.Allow(clock.Now()); ok {
+	if others, ok := n.malformedLogLimiter.Allow(clock.Now()); ok {
 		n.log.WithError(err).WithFields(logrus.Fields{"key": rec.Key, "offset": rec.Offset, "others": others}).Warn("backend server's entry not taken")
 	}
 }
 
-// hostRecord takes an entry host's address, or what hosts keep of a request under which
-// servers crash.
-func (n *Node) hostRecord(rec platform.Record, _ topic.Origin) {
+// applyHostRecord applies an entry host's address, or the stored crash record of a request.
+func (n *Node) applyHostRecord(rec platform.Record, _ topic.Origin) {
 	if q, ok, err := platform.DecodeQuarantine(rec); ok {
 		if err != nil {
 			n.log.WithError(err).WithField("offset", rec.Offset).Error("crashes under a request not taken")
@@ -104,18 +103,18 @@
 	n.members.Learn(h.PeerAddress, clock.Now())
 }
 
-// view returns the configuration with the time in which a newer one could have
-// been missed.
-func (n *Node) view() entry.View {
+// entryView returns the configuration and the time during which a newer one could have been
+// missed.
+func (n *Node) entryView() entry.View {
 	return entry.View{Config: n.config.Load(), Age: n.operatorsAge(clock.Now())}
 }
 
-// rank returns this host's place among the live ones in the order in which they
-// would take the lease, read entries and follow cache events: the same on all of
-// them. Routing hosts come first: they hear soonest what is under way.
+// rank returns this host's position in the order in which live hosts take the lease, read
+// entries and follow cache events. All hosts compute the same order. Routing hosts come first,
+// as they receive updates soonest.
 func (n *Node) rank() int { return n.members.View(clock.Now()).Rank }
 
-// status is what operators are told.
+// status returns this host's answer to operators' status requests.
 func (n *Node) status() *pb.StatusResponse {
 	now := clock.Now()
 	out := &pb.StatusResponse{Host: n.settings.Host.Id, State: n.machine.Current(), Replicas: n.replicas.Status(now), Lease: &pb.LeaseStatus{}}
@@ -131,7 +130,7 @@
 	}
 	out.HostsByNumber = int32(n.members.View(now).Unknown)
 	out.Quotas = n.quotas(now)
-	out.Moves = n.moves.Status(now)
+	out.Moves = n.canaries.Status(now)
 	out.Lease.Holder, out.Lease.FencingToken, out.Lease.HeldHere = n.lease.Holder()
 	return out
 }
--- a/internal/node/cache.go
+++ b/internal/node/cache.go
@@ -17,47 +17,50 @@
 )
 
 const (
-	// cacheGap bounds those calls at a busy replica: what is told is some 80 ms old
-	// anyway, and each call costs processor time on both ends.
-	cacheGap = 100 * time.Millisecond
-	// cacheCalls bounds the calls of one host a second: each takes about 0.15 ms of
-	// its processor.
-	cacheCalls = 240
-	// maxFollowed bounds the replicas that one host follows, as each takes a connection and
-	// calls all the time. Of more, it follows those that hold most.
+	// minCacheReadGap is the minimum pause between two reads of a holder's cache events. Events
+	// are some 80 ms old when read, so more frequent reads gain little, and each read costs
+	// processor time on both ends.
+	minCacheReadGap = 100 * time.Millisecond
+	// maxCacheReadsPerSecond is the maximum rate of event reads of one host. Each takes about
+	// 0.15 ms of its processor time.
+	maxCacheReadsPerSecond = 240
+	// maxFollowed is the maximum number of replicas that a host follows, as each takes a
+	// connection and continuous reads. If there are more, it follows those that hold most
+	// tokens.
 	maxFollowed = 64
-	// leastFollowed is the least number of tokens of such a replica: what is less is read
-	// again sooner than it is looked after.
-	leastFollowed = 2048
-	// scanInterval is how often replicas to follow are looked for.
+	// minFollowedTokens is the minimum number of cached tokens of a replica in that case.
+	// Recomputing fewer costs less than following the replica.
+	minFollowedTokens = 2048
+	// scanInterval is how often the set of replicas to follow is updated.
 	scanInterval = 200 * time.Millisecond
-	// firstScan is that interval until somebody is followed: what a starting host
-	// sends until then is read again where it need not be.
-	firstScan = 20 * time.Millisecond
+	// initialScanInterval is the same until the first replica is followed. Requests that a
+	// starting host sends before then may be recomputed although some replica caches their
+	// prefix.
+	initialScanInterval = 20 * time.Millisecond
 )
 
-// cacheEvents follows what replicas and the store of KV cache hold.
+// cacheEvents follows the cache contents of replicas and KV cache stores.
 func (n *Node) cacheEvents(ctx context.Context) {
 	following := map[cachesync.Holder]context.CancelFunc{}
 	surveyed := false
-	var known knownSources
+	var sources sourceCache
 	for ctx.Err() == nil {
-		holders, many := n.cacheHolders(&known, following)
+		holders, tooMany := n.cacheHolders(&sources, following)
 		n.follow(ctx, holders, following)
-		if many && !surveyed {
+		if tooMany && !surveyed {
 			surveyed = true
 			go n.survey(ctx)
 		}
-		n.followed.Store(int64(len(following)))
+		n.followedHolders.Store(int64(len(following)))
 		pause := scanInterval
-		if len(following) == 0 && !many {
-			pause = firstScan
+		if len(following) == 0 && !tooMany {
+			pause = initialScanInterval
 		}
 		clock.Sleep(ctx, pause)
 	}
 }
 
-// follow begins and ends what is followed.
+// follow starts and stops followers so that exactly the given holders are followed.
 func (n *Node) follow(ctx context.Context, holders map[cachesync.Holder]bool, following map[cachesync.Holder]context.CancelFunc) {
 	for h, cancel := range following {
 		if !holders[h] {
@@ -74,21 +77,21 @@
 	}
 }
 
-// survey reads once what this host's own part of the replicas hold, and announces it to
-// the other hosts.
+// survey reads once the cache contents of this host's part of the replicas, and announces them
+// to the other hosts.
 func (n *Node) survey(ctx context.Context) {
-	s := cachesync.Survey{Engine: n.engines, Index: n.index, Log: n.log, Budget: n.bulk, Found: n.scheduler.AnnounceHeld}
+	s := cachesync.Survey{Engine: n.engines, Index: n.index, Log: n.log, Budget: n.bulkReads, Found: n.scheduler.AnnounceHeld}
 	s.Run(ctx, n.eventSources(n.members.View(clock.Now()), func(int) int { return 1 }))
 }
 
-// eventSources returns the replicas of whose readers this host is one, by the number of
-// readers that each serves.
+// eventSources returns the replicas whose events this host should read. readers returns how many
+// hosts read a replica, given the number of readers that it serves.
 func (n *Node) eventSources(v *member.View, readers func(served int) int) []cachesync.Holder {
 	c := n.config.Load()
 	var out []cachesync.Holder
 	for _, server := range n.replicas.Endpoints() {
 		service := c.Services[server.Service]
-		if service == nil || service.Engine == nil || !follows(v.Rank, len(v.Routing), server.ID, readers(service.Engine.EventReaders)) {
+		if service == nil || service.Engine == nil || !shouldFollow(v.Rank, len(v.Routing), server.ID, readers(service.Engine.EventReaders)) {
 			continue
 		}
 		out = append(out, cachesync.Holder{Name: server.ID, Address: server.Address, Started: server.Started, Capacity: service.Engine.CacheTokens})
@@ -96,26 +99,26 @@
 	return out
 }
 
-// knownSources are the replicas of whose readers this host is one, and what they depend on.
-type knownSources struct {
+// sourceCache caches the result of eventSources together with the inputs that it depends on.
+type sourceCache struct {
 	generation    uint64
 	rank, routing int
 	config        *config.Config
 	sources       []cachesync.Holder
 }
 
-// update looks for them where what they depend on has changed.
-func (k *knownSources) update(n *Node, v *member.View, c *config.Config) []cachesync.Holder {
+// get returns the event sources, recomputed if their inputs have changed.
+func (s *sourceCache) get(n *Node, v *member.View, c *config.Config) []cachesync.Holder {
 	generation := n.replicas.Generation()
-	if k.config != c || k.generation != generation || k.rank != v.Rank || k.routing != len(v.Routing) {
-		*k = knownSources{generation, v.Rank, len(v.Routing), c, n.eventSources(v, func(served int) int { return served })}
+	if s.config != c || s.generation != generation || s.rank != v.Rank || s.routing != len(v.Routing) {
+		*s = sourceCache{generation, v.Rank, len(v.Routing), c, n.eventSources(v, func(served int) int { return served })}
 	}
-	return k.sources
+	return s.sources
 }
 
-// cacheHolders returns whom to follow, and whether there are more replicas than that.
-// Standby hosts follow nobody.
-func (n *Node) cacheHolders(known *knownSources, following map[cachesync.Holder]context.CancelFunc) (out map[cachesync.Holder]bool, many bool) {
+// cacheHolders returns the holders to follow, and whether there are more replicas than a host
+// may follow. Standby hosts follow none.
+func (n *Node) cacheHolders(cache *sourceCache, following map[cachesync.Holder]context.CancelFunc) (out map[cachesync.Holder]bool, tooMany bool) {
 	out = map[cachesync.Holder]bool{}
 	now := clock.Now()
 	c := n.config.Load()
@@ -124,49 +127,50 @@
 		return out, false
 	}
 	for _, s := range c.Stores() {
-		if follows(v.Rank, len(v.Routing), s.Address, s.EventReaders) {
+		if shouldFollow(v.Rank, len(v.Routing), s.Address, s.EventReaders) {
 			out[cachesync.Holder{Name: s.Address, Address: s.Address, Capacity: s.CacheTokens, Store: true}] = true
 		}
 	}
-	sources := known.update(n, v, c)
+	sources := cache.get(n, v, c)
 	if len(sources) > maxFollowed {
-		if now.Sub(n.started) < firstView {
-			// Of a fleet that starts, each host takes itself for one of a few that route.
+		if now.Sub(n.started) < discoveryTime {
+			// While a fleet starts, each host assumes that it is one of a few routing hosts, and
+			// overestimates its part of the replicas.
 			return out, false
 		}
-		many = true
-		sources = worthFollowing(sources, n.index.Tokens, func(h cachesync.Holder) bool { return following[h] != nil })
+		tooMany = true
+		sources = selectHolders(sources, n.index.Tokens, func(h cachesync.Holder) bool { return following[h] != nil })
 	}
 	for _, h := range sources {
 		out[h] = true
 	}
-	return out, many
+	return out, tooMany
 }
 
-// worthFollowing returns the holders that hold most. Those that are followed already stay
-// while they hold enough, as a new follower reads from the start.
-func worthFollowing(holders []cachesync.Holder, tokens func(name string) int, followed func(cachesync.Holder) bool) []cachesync.Holder {
-	held := map[string]int{}
-	var worth []cachesync.Holder
+// selectHolders returns the holders that hold most tokens. Holders already followed come first
+// while they hold enough, as a new follower has to read everything from the start.
+func selectHolders(holders []cachesync.Holder, tokens func(name string) int, followed func(cachesync.Holder) bool) []cachesync.Holder {
+	tokensOf := map[string]int{}
+	var selected []cachesync.Holder
 	for _, h := range holders {
-		if n := tokens(h.Name); n >= leastFollowed {
-			held[h.Name] = n
+		if n := tokens(h.Name); n >= minFollowedTokens {
+			tokensOf[h.Name] = n
 			if followed(h) {
-				held[h.Name] = math.MaxInt
+				tokensOf[h.Name] = math.MaxInt
 			}
-			worth = append(worth, h)
+			selected = append(selected, h)
 		}
 	}
-	slices.SortFunc(worth, func(a, b cachesync.Holder) int {
-		return cmp.Or(cmp.Compare(held[b.Name], held[a.Name]), cmp.Compare(a.Name, b.Name))
+	slices.SortFunc(selected, func(a, b cachesync.Holder) int {
+		return cmp.Or(cmp.Compare(tokensOf[b.Name], tokensOf[a.Name]), cmp.Compare(a.Name, b.Name))
 	})
-	return worth[:min(len(worth), maxFollowed)]
+	return selected[:min(len(selected), maxFollowed)]
 }
 
-// follows reports whether the host of a rank among hosts follows a holder, which
-// serves a bounded number of readers. Where there are more hosts, each leaves out
-// some holders, so that none is left without any.
-func follows(rank, hosts int, holder string, readers int) bool {
+// shouldFollow reports whether the host of a rank, out of so many hosts, follows a holder that
+// serves a limited number of readers. If there are more hosts than readers, each skips some
+// holders, such that every holder is followed.
+func shouldFollow(rank, hosts int, holder string, readers int) bool {
 	if hosts <= readers {
 		return true
 	}
@@ -174,32 +178,32 @@
 	return (rank+int(shift))%hosts < readers
 }
 
-// follower returns what follows one holder.
+// follower returns a new follower of a holder.
 func (n *Node) follower(h cachesync.Holder) *cachesync.Follower {
 	return &cachesync.Follower{
-		Engine: n.engines, Index: n.index, Holder: h, Log: n.log, Budget: n.bulk,
+		Engine: n.engines, Index: n.index, Holder: h, Log: n.log, Budget: n.bulkReads,
 		Gap: func() time.Duration {
-			return max(cacheGap, time.Second*time.Duration(n.followed.Load())/cacheCalls)
+			return max(minCacheReadGap, time.Second*time.Duration(n.followedHolders.Load())/maxCacheReadsPerSecond)
 		},
 		Backoff: func() time.Duration { return n.replicas.Backoff(h.Name, clock.Now()) },
 		NoLists: n.off[mechanism.CacheLists],
-		Up:      func(err error) { n.cacheStoreUp(h, err) },
+		Up:      func(err error) { n.recordStoreResult(h, err) },
 	}
 }
 
-// cacheStoreUp notes whether a store of KV cache answers; replicas are judged by
-// their answers to requests.
-func (n *Node) cacheStoreUp(h cachesync.Holder, err error) {
+// recordStoreResult records whether a KV cache store answers. It ignores replicas, whose health
+// is judged by their answers to requests.
+func (n *Node) recordStoreResult(h cachesync.Holder, err error) {
 	up := err == nil
 	if !h.Store || n.scheduler.StoreUp(h.Address) == up {
 		return
 	}
 	n.scheduler.SetStoreUp(h.Address, up)
-	line := n.log.WithField("store", h.Address)
+	logEntry := n.log.WithField("store", h.Address)
 	if up {
-		line.Info("store of KV cache reached")
+		logEntry.Info("store of KV cache reached")
 		return
 	}
-	line.WithError(err).Warn("store of KV cache lost")
+	logEntry.WithError(err).Warn("store of KV cache lost")
 	n.index.Clear(h.Name)
 }
--- a/internal/node/cache_test.go
+++ b/internal/node/cache_test.go
@@ -7,8 +7,8 @@
 	"github.com/briarlink/briarlink/internal/cachesync"
 )
 
-// TestReadersOfCacheEvents: a holder has as many as it serves, and where there
-// are more hosts they share the holders evenly.
+// TestReadersOfCacheEvents checks that a holder gets as many readers as it serves, and that
+// hosts share the holders evenly if there are more hosts than readers.
 func TestReadersOfCacheEvents(t *testing.T) {
 	const holders = 400
 	for _, c := range []struct{ hosts, readers int }{{9, 12}, {8, 8}, {10, 8}, {64, 8}} {
@@ -16,7 +16,7 @@
 		for i := range holders {
 			n := 0
 			for rank := range c.hosts {
-				if follows(rank, c.hosts, fmt.Sprintf("i-%d", i), c.readers) {
+				if shouldFollow(rank, c.hosts, fmt.Sprintf("i-%d", i), c.readers) {
 					followed[rank]++
 					n++
 				}
@@ -34,10 +34,11 @@
 	}
 }
 
-// TestFollowedHoldersDoNotGrowWithTheFleet: with 9,560 replicas each of 60 hosts followed
-// 1,275 of them, 42 s apart, each time over a new connection: nearly ten connections for each
-// request. A host follows a bounded number, those that hold most.
-func TestFollowedHoldersDoNotGrowWithTheFleet(t *testing.T) {
+// TestFollowedHoldersAreBounded guards against the number of followed replicas growing with the
+// fleet. With 9,560 replicas each of 60 hosts followed 1,275 of them, 42 s apart, each time over
+// a new connection: nearly ten connections per request. A host now follows a limited number,
+// those that hold most tokens.
+func TestFollowedHoldersAreBounded(t *testing.T) {
 	for _, n := range []int{400, 1600} {
 		var holders []cachesync.Holder
 		for i := range n {
@@ -45,24 +46,24 @@
 		}
 		held := map[string]int{}
 		tokens := func(name string) int { return held[name] }
-		nobody := func(cachesync.Holder) bool { return false }
-		if got := worthFollowing(holders, tokens, nobody); len(got) != 0 {
-			t.Errorf("%d of %d replicas that hold nothing are followed", len(got), n)
+		noneFollowed := func(cachesync.Holder) bool { return false }
+		if got := selectHolders(holders, tokens, noneFollowed); len(got) != 0 {
+			t.Errorf("%d of %d replicas with empty caches are followed", len(got), n)
 		}
 		for i, h := range holders[:n/2] {
-			held[h.Name] = leastFollowed + i
+			held[h.Name] = minFollowedTokens + i
 		}
-		first := worthFollowing(holders, tokens, nobody)
-		if len(first) != maxFollowed || held[first[0].Name] != leastFollowed+n/2-1 {
+		first := selectHolders(holders, tokens, noneFollowed)
+		if len(first) != maxFollowed || held[first[0].Name] != minFollowedTokens+n/2-1 {
 			t.Errorf("%d of %d replicas are followed, the first with %d tokens", len(first), n, held[first[0].Name])
 		}
-		last := first[maxFollowed-1]
+		lowest := first[maxFollowed-1]
 		for _, h := range holders[n/2:] {
-			held[h.Name] = 100 * leastFollowed
+			held[h.Name] = 100 * minFollowedTokens
 		}
-		again := worthFollowing(holders, tokens, func(h cachesync.Holder) bool { return h == last })
-		if again[0] != last {
-			t.Errorf("a replica that is followed and still holds %d tokens is left for others", held[last.Name])
+		selected := selectHolders(holders, tokens, func(h cachesync.Holder) bool { return h == lowest })
+		if selected[0] != lowest {
+			t.Errorf("a followed replica that still holds %d tokens was dropped for others", held[lowest.Name])
 		}
 	}
 }
--- a/internal/node/crash_test.go
+++ b/internal/node/crash_test.go
@@ -16,17 +16,18 @@
 )
 
 const (
-	// downFor is how long a crashed server is gone.
-	downFor = 150 * time.Millisecond
-	// knownWithin is when every host must know that a request crashes servers.
-	knownWithin = 3 * time.Second
-	// allowedCrashes is how many more servers may run it after that.
-	allowedCrashes = 3
+	// restartDelay is how long a crashed server is down.
+	restartDelay = 150 * time.Millisecond
+	// propagationTime is the time after which every host must know that a request crashes
+	// servers.
+	propagationTime = 3 * time.Second
+	// maxLaterCrashes is the maximum number of servers that may crash after that.
+	maxLaterCrashes = 3
 )
 
-// crashing is a backend server that a poison request ends, with all that it is at work on,
-// and that is back at its address under another ID.
-type crashing struct {
+// crashingServer is a backend server that crashes when it runs a poison request, losing all
+// running requests, and restarts at the same address under another ID.
+type crashingServer struct {
 	s       *site
 	name    string
 	address string
@@ -37,9 +38,9 @@
 	up     bool
 }
 
-func (s *site) crashing(name string) *crashing {
+func (s *site) crashingServer(name string) *crashingServer {
 	s.t.Helper()
-	c := &crashing{s: s, name: name, address: "127.0.0.1:0"}
+	c := &crashingServer{s: s, name: name, address: "127.0.0.1:0"}
 	c.start()
 	s.t.Cleanup(func() {
 		c.mu.Lock()
@@ -49,7 +50,7 @@
 	return c
 }
 
-func (c *crashing) start() {
+func (c *crashingServer) start() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	listener, err := net.Listen("tcp4", c.address)
@@ -72,47 +73,48 @@
 	c.up = true
 }
 
-func (c *crashing) crash(id string) {
+func (c *crashingServer) crash(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.up = false
 	c.server.Close()
-	time.AfterFunc(downFor, func() {
+	time.AfterFunc(restartDelay, func() {
 		c.s.store.Put(platform.ReplicaTopic, id, nil)
 		c.start()
 	})
 }
 
-// frailSite is a site whose engines are four servers that a poison request ends.
-func frailSite(t *testing.T) (*site, []*crashing) {
+// newCrashSite returns a site whose engines are four servers that crash when they run a poison
+// request.
+func newCrashSite(t *testing.T) (*site, []*crashingServer) {
 	t.Helper()
 	s := newSite(t)
 	for _, e := range s.engines {
 		s.store.Put(platform.ReplicaTopic, e.ID, nil)
 	}
-	var servers []*crashing
+	var servers []*crashingServer
 	for i := range 4 {
-		servers = append(servers, s.crashing(fmt.Sprint("i-frail-", i)))
+		servers = append(servers, s.crashingServer(fmt.Sprint("i-frail-", i)))
 	}
 	s.configure(1)
 	return s, servers
 }
 
-// sendPoison sends an attempt at a poison request. Whether its connection is cut or an
-// error comes makes no difference to these tests.
+// sendPoison sends an attempt of a poison request. Its outcome, a cut connection or an error,
+// does not matter.
 func sendPoison(t *testing.T, h *host, id string) {
 	t.Helper()
-	r := caller.Request{ID: id, Method: "POST", Path: "/reports/1", Body: engine.PoisonBody, Model: "m", Tokens: "840,16", Deadline: limit}
+	r := caller.Request{ID: id, Method: "POST", Path: "/reports/1", Body: engine.PoisonBody, Model: "m", Tokens: "840,16", Deadline: waitLimit}
 	_, _ = h.caller().SendTo(t.Context(), h.settings.Listen.Caller, r)
 }
 
-// allKnown reports whether every server is up and known to each host.
-func allKnown(servers []*crashing, hosts ...*host) bool {
-	return !slices.ContainsFunc(servers, func(c *crashing) bool { return !c.known(hosts) })
+// allRegistered reports whether every server is up and registered at each host.
+func allRegistered(servers []*crashingServer, hosts ...*host) bool {
+	return !slices.ContainsFunc(servers, func(c *crashingServer) bool { return !c.registered(hosts) })
 }
 
-// crashes returns how often the servers ended.
-func crashes(servers []*crashing) int {
+// countCrashes returns the number of crashes of the servers.
+func countCrashes(servers []*crashingServer) int {
 	n := 0
 	for _, c := range servers {
 		c.mu.Lock()
@@ -125,8 +127,8 @@
 	return n
 }
 
-// known reports whether the server is up and each host knows its present start.
-func (c *crashing) known(hosts []*host) bool {
+// registered reports whether the server is up and registered at each host under its current ID.
+func (c *crashingServer) registered(hosts []*host) bool {
 	c.mu.Lock()
 	id, up := fmt.Sprintf("%s-%d", c.name, c.starts), c.up
 	c.mu.Unlock()
@@ -136,20 +138,19 @@
 	return up
 }
 
-// TestRequestThatCrashesServersIsKeptAway tells of a request that ended every server that
-// ran it: some twenty in half a minute, with the streams that these were at work on. Its
-// caller sent it again after each failure, to any host and under a new ID, and each host
-// took it for a new one: nothing was remembered of a request but its attempt's ID. Proof was
-// a digest of what is the same for all attempts, in the log: all but a few lost one or two
-// attempts, that one 44, on each host. Once three servers have ended under it and every host
-// has had time to hear of it, at most three more may run it; other requests are served by
-// both hosts all the while.
-func TestRequestThatCrashesServersIsKeptAway(t *testing.T) {
-	s, servers := frailSite(t)
+// TestCrashingRequestIsQuarantined guards against a request that crashes every server that runs
+// it: some twenty in half a minute, with all streams on them. Its caller retried at any host
+// under a new ID, and hosts remembered nothing but attempt IDs, so each took it for a new
+// request. A digest of the parts common to all attempts identifies such a request: in the log
+// most digests had lost one or two attempts, this one 44, on each host. After three crashes, and
+// time for every host to receive reports of them, at most three more servers may crash. Both
+// hosts serve other requests meanwhile.
+func TestCrashingRequestIsQuarantined(t *testing.T) {
+	s, servers := newCrashSite(t)
 	a := s.host("a", s.address)
 	b := s.host("b", s.address, a)
 	hosts := []*host{a, b}
-	eventually(t, "two ready hosts that know each other", func() bool {
+	eventually(t, "two ready hosts that list each other", func() bool {
 		return a.ready() && b.ready() && len(a.node.directory("z1")) == 2 && len(b.node.directory("z1")) == 2
 	})
 	attempts := 0
@@ -157,20 +158,20 @@
 		attempts++
 		sendPoison(t, hosts[attempts%2], fmt.Sprint("d-", attempts))
 	}
-	everyServer := func() bool { return allKnown(servers, hosts...) }
+	everyServer := func() bool { return allRegistered(servers, hosts...) }
 	eventually(t, "three crashes", func() bool {
 		eventually(t, "four servers", everyServer)
 		poison()
-		return crashes(servers) >= 3
+		return countCrashes(servers) >= 3
 	})
-	time.Sleep(knownWithin)
-	before := crashes(servers)
+	time.Sleep(propagationTime)
+	before := countCrashes(servers)
 	for range 10 {
 		eventually(t, "four servers", everyServer)
 		poison()
 	}
-	if more := crashes(servers) - before; more > allowedCrashes {
-		t.Errorf("%d servers more ended under a request that had ended %d", more, before)
+	if more := countCrashes(servers) - before; more > maxLaterCrashes {
+		t.Errorf("%d more servers crashed under a request after %d crashes", more, before)
 	}
 	for _, h := range hosts {
 		eventually(t, "four servers", everyServer)
@@ -180,29 +181,29 @@
 	}
 }
 
-// TestPoisonRequestOutlivesALossOfPower: a fleet that had lost all its hosts at once let
-// three more servers end under a request that it had refused before, each time. What is
-// refused is kept in the store, where hosts that start find it.
-func TestPoisonRequestOutlivesALossOfPower(t *testing.T) {
-	s, servers := frailSite(t)
+// TestQuarantineSurvivesPowerLoss guards against a fleet that loses all hosts at once and then
+// lets three more servers crash under a request that it had already quarantined. Quarantined
+// requests are kept in the store, where starting hosts find them.
+func TestQuarantineSurvivesPowerLoss(t *testing.T) {
+	s, servers := newCrashSite(t)
 	first := s.host("a", s.address)
 	eventually(t, "readiness", first.ready)
-	for i := 0; crashes(servers) < 3; i++ {
-		eventually(t, "four servers", func() bool { return allKnown(servers, first) })
+	for i := 0; countCrashes(servers) < 3; i++ {
+		eventually(t, "four servers", func() bool { return allRegistered(servers, first) })
 		sendPoison(t, first, fmt.Sprint("d-", i))
 	}
-	eventually(t, "the refusal in the store", func() bool { return len(first.node.crashes.Unsaved()) == 0 })
+	eventually(t, "the quarantine in the store", func() bool { return len(first.node.crashes.Unsaved()) == 0 })
 	first.stop()
 	<-first.done
 	again := s.host("b", s.address)
 	eventually(t, "readiness", again.ready)
-	eventually(t, "four servers", func() bool { return allKnown(servers, again) })
-	eventually(t, "the refusal on the started host", func() bool { return again.node.crashes.Count(time.Now()) == 1 })
-	before := crashes(servers)
+	eventually(t, "four servers", func() bool { return allRegistered(servers, again) })
+	eventually(t, "the quarantine on the started host", func() bool { return again.node.crashes.Count(time.Now()) == 1 })
+	before := countCrashes(servers)
 	for i := range 3 {
 		sendPoison(t, again, fmt.Sprint("e-", i))
 	}
-	if n := crashes(servers) - before; n != 0 {
-		t.Errorf("%d servers ended under a request that was refused before the loss of power", n)
+	if n := countCrashes(servers) - before; n != 0 {
+		t.Errorf("%d servers crashed under a request that was quarantined before the power loss", n)
 	}
 }
--- a/internal/node/crashes.go
+++ b/internal/node/crashes.go
@@ -10,16 +10,16 @@
 	"github.com/briarlink/briarlink/platform"
 )
 
-// replicaCrashed puts the end of a server down to the requests that it was running, and
-// tells the other hosts at once: its next crash may be one of theirs.
+// replicaCrashed attributes a server's crash to the requests that it was running, and notifies
+// the other hosts at once, as the same request may reach them next.
 func (n *Node) replicaCrashed(server quarantine.Server, requests []quarantine.Digest, now time.Time) {
 	n.crashes.Crashed(server, requests, now)
-	n.beatSoon()
+	n.requestHeartbeat()
 }
 
-// lookAtBroken looks whether servers are gone whose connections broke: requests that
-// crash their servers are to be known before they come again.
-func (n *Node) lookAtBroken(ctx context.Context) {
+// probeBroken probes the servers whose connections broke, so that a crash is detected before the
+// request that caused it is sent again.
+func (n *Node) probeBroken(ctx context.Context) {
 	for id, address := range n.replicas.Broken() {
 		go func() {
 			if err := n.pool.Look(ctx, address); upstream.Refused(err) {
@@ -30,8 +30,8 @@
 	}
 }
 
-// keepCrashes keeps in the store under which requests servers crash.
-func (n *Node) keepCrashes(ctx context.Context) {
+// persistCrashes writes the crash records of requests to the store.
+func (n *Node) persistCrashes(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -39,12 +39,12 @@
 		case <-n.crashes.Dirty:
 		}
 		for _, q := range n.crashes.Unsaved() {
-			n.keepCrashesOf(ctx, q)
+			n.persistCrash(ctx, q)
 		}
 	}
 }
 
-func (n *Node) keepCrashesOf(ctx context.Context, q platform.QuarantineRecord) {
+func (n *Node) persistCrash(ctx context.Context, q platform.QuarantineRecord) {
 	for ctx.Err() == nil {
 		_, err := n.store.Append(ctx, platform.HostTopic, q.Encode(), -1)
 		if err == nil {
--- a/internal/node/directory_test.go
+++ b/internal/node/directory_test.go
@@ -7,7 +7,7 @@
 	pb "github.com/briarlink/briarlink/api/briarlink/v1"
 )
 
-// serving returns hosts of a zone with so many cores each.
+// serving returns hosts of a zone with the given numbers of cores.
 func serving(zone string, cores ...float64) []*pb.Heartbeat {
 	var out []*pb.Heartbeat
 	for i, c := range cores {
@@ -16,10 +16,11 @@
 	return out
 }
 
-// TestZoneWithoutLargeHostsIsServedByOthers: two hosts of 0.192 cores that took the places of
-// their zone's large ones, 0.8 each, got all of its callers. They were too busy to take
-// configurations, and as relays kept them from the zone's other hosts for seconds.
-func TestZoneWithoutLargeHostsIsServedByOthers(t *testing.T) {
+// TestZoneWithoutLargeHostsUsesOtherZones guards against overloaded small hosts. Two hosts of
+// 0.192 cores that replaced their zone's large ones, of 0.8 cores each, got all callers of the
+// zone. They were too busy to apply configurations, and as relays delayed them for the zone's
+// other hosts by seconds.
+func TestZoneWithoutLargeHostsUsesOtherZones(t *testing.T) {
 	others := append(serving("b", 0.8, 0.8), serving("c", 0.8, 0.8)...)
 	for name, c := range map[string]struct {
 		zone    string
@@ -38,7 +39,7 @@
 		"two sizes, one half of the other": {"a", append(serving("a", 0.4, 0.4), others...), 2},
 	} {
 		if got := hostsFor(c.zone, c.serving); len(got) != c.want {
-			t.Errorf("%s: %d hosts are named, want %d", name, len(got), c.want)
+			t.Errorf("%s: %d hosts are listed, want %d", name, len(got), c.want)
 		}
 	}
 }
--- a/internal/node/gossip.go
+++ b/internal/node/gossip.go
@@ -13,71 +13,71 @@
 	"github.com/briarlink/briarlink/internal/topic"
 )
 
-// leastKick is the shortest pause between two heartbeats.
-const leastKick = 5 * time.Millisecond
+// minHeartbeatGap is the minimum pause before a requested heartbeat.
+const minHeartbeatGap = 5 * time.Millisecond
 
-// beatNow asks for a heartbeat at once to everybody whom this host tells.
-func (n *Node) beatNow() {
-	n.toAll.Store(true)
-	n.beatSoon()
+// requestHeartbeatToAll requests an immediate heartbeat to all peers that this host sends to.
+func (n *Node) requestHeartbeatToAll() {
+	n.heartbeatToAll.Store(true)
+	n.requestHeartbeat()
 }
 
-// beatSoon asks for a heartbeat to the routing hosts.
-func (n *Node) beatSoon() {
+// requestHeartbeat requests an immediate heartbeat to the routing hosts.
+func (n *Node) requestHeartbeat() {
 	select {
-	case n.kick <- struct{}{}:
+	case n.heartbeatRequested <- struct{}{}:
 	default:
 	}
 }
 
-// heartbeats tells the other hosts, each interval and when asked to.
+// heartbeats sends heartbeats at each interval and on request.
 func (n *Node) heartbeats(ctx context.Context) {
 	ticker := time.NewTicker(n.settings.Member.HeartbeatInterval.AsDuration())
 	defer ticker.Stop()
-	n.learnSeeds(n.settings.Member.Seeds)
+	n.addSeeds(n.settings.Member.Seeds)
 	for tick := 0; ; {
 		now := clock.Now()
-		n.shareLimits(now)
-		n.beat(n.members.Tick(tick, n.replicas.Working() || n.limiter.Untold() || n.crashes.Untold(), now), true, now)
+		n.updateLimitShares(now)
+		n.sendHeartbeat(n.members.Tick(tick, n.replicas.Working() || n.limiter.Untold() || n.crashes.Untold(), now), true, now)
 		tick++
-		for waiting := true; waiting; {
+		for untilTick := true; untilTick; {
 			select {
 			case <-ctx.Done():
 				return
 			case <-ticker.C:
-				waiting = false
-			case <-n.kick:
-				time.Sleep(leastKick)
-				n.kicked()
+				untilTick = false
+			case <-n.heartbeatRequested:
+				time.Sleep(minHeartbeatGap)
+				n.sendRequestedHeartbeat()
 			}
 		}
 	}
 }
 
-// kicked sends what was asked for between two intervals.
-func (n *Node) kicked() {
+// sendRequestedHeartbeat sends a heartbeat between two intervals.
+func (n *Node) sendRequestedHeartbeat() {
 	now := clock.Now()
-	all := n.toAll.Swap(false)
-	n.beat(n.members.Now(all, now), false, now)
+	all := n.heartbeatToAll.Swap(false)
+	n.sendHeartbeat(n.members.Now(all, now), false, now)
 }
 
-// setState tells the table of hosts of this host's own state after each change, so
-// that callers' directory has it at once. The lock keeps what was read before another
-// change from being told after it.
+// setState reports this host's state to the membership table after each change, so that the
+// directory reflects it at once. The lock prevents an older state from being reported after a
+// newer one.
 func (n *Node) setState() {
-	n.stating.Lock()
-	defer n.stating.Unlock()
+	n.stateMu.Lock()
+	defer n.stateMu.Unlock()
 	n.members.SetState(n.machine.Is(StateReady), n.leaving())
 }
 
-// ready reports whether this host says that it is ready: once its own directory
-// names it, or callers that come at once would be named nobody.
+// ready reports whether this host announces itself as ready. It does so only once its own
+// directory lists it: callers that came earlier would get an empty directory.
 func (n *Node) ready() bool { return n.machine.Is(StateReady) && n.members.SaysReady() }
 
 // leaving reports whether callers should connect elsewhere.
 func (n *Node) leaving() bool { return n.machine.Is(StateLeaving) || n.machine.Is(StateClosing) }
 
-// self returns what does not change in this host's heartbeats.
+// self returns the constant part of this host's heartbeats.
 func (n *Node) self() *pb.Heartbeat {
 	return &pb.Heartbeat{
 		Host:             n.settings.Host.Id,
@@ -89,19 +89,19 @@
 	}
 }
 
-// beat sends one heartbeat; a round is one of an interval.
-func (n *Node) beat(to member.Audience, round bool, now time.Time) {
-	state := n.state(now)
+// sendHeartbeat sends one heartbeat. atInterval is false for a requested one between intervals.
+func (n *Node) sendHeartbeat(to member.Audience, atInterval bool, now time.Time) {
+	state := n.commonHeartbeat(now)
 	if len(to.Full) > 0 {
 		full := proto.CloneOf(state)
-		if round {
+		if atInterval {
 			full.Members = n.members.MemberStates(false, now)
 		}
-		n.addWork(full, round, now)
+		n.addRoutingState(full, atInterval, now)
 		n.send(full, to.Full)
 	}
 	if len(to.Brief) > 0 {
-		n.send(n.brief(state, now), to.Brief)
+		n.send(n.standbyHeartbeat(state, now), to.Brief)
 	}
 	if len(to.Ask) > 0 {
 		state.Asks = true
@@ -115,11 +115,11 @@
 
 func (n *Node) nextSequence() uint64 { return n.sequence.Add(1) }
 
-// brief returns what standby hosts are told. They do not hear all routing hosts: one
-// of these passes on how long ago any host read the topics. Nobody else does, as the word
-// would come back to those that told it, younger by its time on the way each time: a
-// topic that nobody reads any more would hardly age.
-func (n *Node) brief(state *pb.Heartbeat, now time.Time) *pb.Heartbeat {
+// standbyHeartbeat returns the heartbeat for standby hosts. They do not receive heartbeats from
+// all routing hosts, so a routing host forwards how long ago any host read the topics. Between
+// routing hosts such ages are not forwarded: an age returns to its origin without its time in
+// transit, and so would hardly grow even if no host read the topic any more.
+func (n *Node) standbyHeartbeat(state *pb.Heartbeat, now time.Time) *pb.Heartbeat {
 	out := proto.CloneOf(state)
 	out.Members = n.members.MemberStates(true, now)
 	out.Standby = n.members.Standby(now)
@@ -133,17 +133,17 @@
 	return out
 }
 
-// state returns what every host may know of this one.
-func (n *Node) state(now time.Time) *pb.Heartbeat {
+// commonHeartbeat returns the part of the heartbeat that goes to every host.
+func (n *Node) commonHeartbeat(now time.Time) *pb.Heartbeat {
 	b := n.self()
 	v := n.members.View(now)
 	b.Ready = n.ready()
 	b.Leaving = n.leaving()
 	b.Routing, b.Asks = v.Here, v.All
-	b.OperatorsAgeMs = ageMs(n.operatorsRead(now))
+	b.OperatorsAgeMs = ageMs(n.operatorsReadAge(now))
 	b.EntriesAgeMs = ageMs(n.servers.Age(now))
 	b.LeaseEnd = n.lease.HeldEnd()
-	for _, t := range n.shared() {
+	for _, t := range n.sharedTopics() {
 		if t.Synced() {
 			b.Positions = append(b.Positions, &pb.TopicPosition{Topic: t.Name(), End: t.End()})
 		}
@@ -151,7 +151,7 @@
 	return b
 }
 
-// ageMs returns an age for a heartbeat: -1 for never.
+// ageMs returns an age in the heartbeat's encoding, in which -1 means never.
 func ageMs(age time.Duration) int64 {
 	if age >= topic.NeverFresh {
 		return -1
@@ -159,33 +159,35 @@
 	return age.Milliseconds()
 }
 
-// addWork adds what only those need to know that send requests to replicas.
-func (n *Node) addWork(b *pb.Heartbeat, round bool, now time.Time) {
-	b.Loads = n.told.Changes(n.replicas.Loads(now), round)
+// addRoutingState adds what only hosts that send requests to replicas need.
+func (n *Node) addRoutingState(b *pb.Heartbeat, atInterval bool, now time.Time) {
+	b.Loads = n.loadReports.Changes(n.replicas.Loads(now), atInterval)
 	b.Sent = n.scheduler.TakeSent()
 	b.Uses = n.limiter.Changes(now)
-	b.Crashes = n.crashes.Changes(now, round)
-	if round {
+	b.Crashes = n.crashes.Changes(now, atInterval)
+	if atInterval {
 		b.Paces = n.replicas.Paces()
 	}
 	b.Loading = n.loader.Busy()
 	b.Down, _ = n.replicas.Down(now)
 	b.Named = n.replicas.Named(now)
-	if n.moveLease.Valid() {
-		b.MovePermits = n.moves.Permits(n.moveLease.Fencing(), now)
+	if n.canaryLease.Valid() {
+		b.MovePermits = n.canaries.Permits(n.canaryLease.Fencing(), now)
 	}
-	if round && n.moves.Untold() {
-		b.MoveAnswers = n.moves.Answers()
+	if atInterval && n.canaries.Untold() {
+		b.MoveAnswers = n.canaries.Answers()
 	}
 	n.loader.Recent(now, func(id, model string, version int64) {
 		b.Weights = append(b.Weights, &pb.ReplicaWeights{Replica: id, Model: model, Version: version})
 	})
 }
 
-// countSent counts a datagram by whether it leaves the availability zone.
+// countSent counts the bytes of a datagram by whether it stays in the availability zone.
 func (n *Node) countSent(to string, bytes int) {
 	n.metrics.Moved(obs.Heartbeats, n.members.ZoneOf(to) == n.settings.Host.AvailabilityZone, bytes)
 }
 
-// shared returns the topics that hosts pass on to each other.
-func (n *Node) shared() []*topic.Table { return []*topic.Table{n.operators, n.servers, n.statuses} }
+// sharedTopics returns the topics whose records hosts fetch from each other.
+func (n *Node) sharedTopics() []*topic.Table {
+	return []*topic.Table{n.operators, n.servers, n.releaseStatuses}
+}
--- a/internal/node/heard.go
+++ b/internal/node/heard.go
@@ -12,12 +12,12 @@
 	"github.com/briarlink/briarlink/platform"
 )
 
-// loadingHold is how long a replica that another host orders gets no requests
-// unless the next heartbeat says so again.
-const loadingHold = 600 * time.Millisecond
+// loadingTimeout is how long a replica that another host commands to load weights gets no
+// requests. Each heartbeat that lists the replica renews it.
+const loadingTimeout = 600 * time.Millisecond
 
-// heard takes another host's heartbeat.
-func (n *Node) heard(b *pb.Heartbeat) {
+// receiveHeartbeat applies another host's heartbeat.
+func (n *Node) receiveHeartbeat(b *pb.Heartbeat) {
 	if b.Host == n.settings.Host.Id {
 		return
 	}
@@ -26,7 +26,7 @@
 	if !fresh {
 		return
 	}
-	n.noteHost(before, b, now)
+	n.logHostChange(before, b, now)
 	if before != nil && before.Incarnation != b.Incarnation {
 		n.replicas.DropLoads(b.Host)
 	}
@@ -34,35 +34,35 @@
 	n.limiter.Heard(quota.Word{Host: b.Host, Incarnation: b.Incarnation, Routing: b.Routing, Uses: b.Uses}, now)
 	n.crashes.Heard(b.Crashes, now)
 	n.lease.Heard(b.Host, b.LeaseEnd)
-	n.moves.ReceivePermits(b.MovePermits, now)
-	n.moves.ReceiveAnswers(b.Host, b.Incarnation, b.MoveAnswers)
+	n.canaries.ReceivePermits(b.MovePermits, now)
+	n.canaries.ReceiveAnswers(b.Host, b.Incarnation, b.MoveAnswers)
 	n.replicas.HeardPaces(b.Host, b.Paces)
 	n.replicas.Suspect(b.Host, b.Down, now)
 	for _, id := range b.Loading {
-		n.replicas.Loading(id, now.Add(loadingHold))
+		n.replicas.Loading(id, now.Add(loadingTimeout))
 	}
-	n.heardNamed(b, now)
+	n.applyNamedVersions(b, now)
 	for _, w := range b.Weights {
 		if n.replicas.Holds(w.Replica, w.Model, w.Version) {
 			n.index.Clear(w.Replica)
 		}
 	}
-	n.heardSent(b)
-	n.heardFresh(b, now)
+	n.applySent(b)
+	n.applyFreshness(b, now)
 	n.catchUp(b)
 }
 
-// heardNamed takes when weights versions were named.
-func (n *Node) heardNamed(b *pb.Heartbeat, now time.Time) {
+// applyNamedVersions records when weights versions were named.
+func (n *Node) applyNamedVersions(b *pb.Heartbeat, now time.Time) {
 	for _, w := range b.Named {
 		if n.replicas.HeardNamed(w, now) {
 			n.log.WithFields(logrus.Fields{"model": w.Model, "version": w.Version, "host": b.Host}).Info("weights wanted")
-			n.beatNow()
+			n.requestHeartbeatToAll()
 		}
 	}
 }
 
-func (n *Node) heardSent(b *pb.Heartbeat) {
+func (n *Node) applySent(b *pb.Heartbeat) {
 	c := n.config.Load()
 	if c == nil || len(b.Sent) == 0 {
 		return
@@ -75,47 +75,47 @@
 	}
 }
 
-// noteHost logs what changed about another host: one line in a second, which
-// counts the others, as hundreds of hosts start at once.
-func (n *Node) noteHost(before, now *pb.Heartbeat, at time.Time) {
-	changed := before == nil || before.Incarnation != now.Incarnation || before.Ready != now.Ready || before.Leaving != now.Leaving
+// logHostChange logs a state change of another host, at most one line a second with a count of
+// the suppressed ones, as hundreds of hosts may start at once.
+func (n *Node) logHostChange(before, current *pb.Heartbeat, at time.Time) {
+	changed := before == nil || before.Incarnation != current.Incarnation || before.Ready != current.Ready || before.Leaving != current.Leaving
 	if !changed {
 		return
 	}
-	others, ok := n.changes.Allow(at)
+	others, ok := n.hostLogLimiter.Allow(at)
 	if !ok {
 		return
 	}
 	n.log.WithFields(logrus.Fields{
-		"host": now.Host, "ready": now.Ready, "leaving": now.Leaving, "incarnation": now.Incarnation,
+		"host": current.Host, "ready": current.Ready, "leaving": current.Leaving, "incarnation": current.Incarnation,
 		"known_before": before != nil, "others": others,
 	}).Info("host changed")
 }
 
-// heardFresh takes how fresh another host's view of the topics is.
-func (n *Node) heardFresh(b *pb.Heartbeat, now time.Time) {
-	n.operatorsFresh.Heard(position(b, platform.OperatorTopic), n.operators.End(), millisAge(b.OperatorsAgeMs), now)
-	n.entriesFresh.Heard(position(b, platform.ReplicaTopic), n.servers.End(), millisAge(b.EntriesAgeMs), now)
+// applyFreshness records how recently another host read the topics.
+func (n *Node) applyFreshness(b *pb.Heartbeat, now time.Time) {
+	n.operatorsFreshness.Heard(position(b, platform.OperatorTopic), n.operators.End(), ageFromMs(b.OperatorsAgeMs), now)
+	n.entriesFreshness.Heard(position(b, platform.ReplicaTopic), n.servers.End(), ageFromMs(b.EntriesAgeMs), now)
 }
 
-func millisAge(ms int64) time.Duration {
+func ageFromMs(ms int64) time.Duration {
 	if ms < 0 {
 		return topic.NeverFresh
 	}
 	return time.Duration(ms) * time.Millisecond
 }
 
-// operatorsAge returns the time in which a newer configuration could have been
-// missed: since this host read it, or another one that has applied no more.
+// operatorsAge returns the time during which a newer configuration could have been missed: the
+// time since the last read by this host, or by another one that has applied no more records.
 func (n *Node) operatorsAge(now time.Time) time.Duration {
-	return min(n.operatorsRead(now), n.operatorsFresh.Age(now))
+	return min(n.operatorsReadAge(now), n.operatorsFreshness.Age(now))
 }
 
-// operatorsRead is operatorsAge by this host's own reads alone. A host that waits for
-// records at the store misses none while the store answers its other calls.
-func (n *Node) operatorsRead(now time.Time) time.Duration {
+// operatorsReadAge is operatorsAge by this host's own reads only. A host that waits at the store
+// for records misses none while the store answers its other calls.
+func (n *Node) operatorsReadAge(now time.Time) time.Duration {
 	age := n.operators.Age(now)
-	if n.waitsForOperators.Load() {
+	if n.longPollsOperators.Load() {
 		age = min(age, n.access.Age(now))
 	}
 	return age
@@ -123,11 +123,11 @@
 
 // entriesAge is operatorsAge for the backend servers' entries.
 func (n *Node) entriesAge(now time.Time) time.Duration {
-	return min(n.servers.Age(now), n.entriesFresh.Age(now))
+	return min(n.servers.Age(now), n.entriesFreshness.Age(now))
 }
 
-// position returns how far a host has applied a topic, or unknownPosition where it does not
-// know the topic whole. That of an empty topic is 0.
+// position returns the offset up to which a host has applied a topic, or unknownPosition if the
+// host has not synced it. For an empty topic it is 0.
 func position(b *pb.Heartbeat, topic string) int64 {
 	for _, p := range b.Positions {
 		if p.Topic == topic {
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -16,11 +16,11 @@
 	"github.com/briarlink/briarlink/internal/quota"
 )
 
-// loggedLimits bounds the lines about limits that changed at once.
-const loggedLimits = 20
+// maxLoggedLimits is the maximum number of limit changes logged per configuration.
+const maxLoggedLimits = 20
 
-// takeLimits puts a configuration's rate limits in force.
-func (n *Node) takeLimits(c *config.Config) {
+// applyLimits applies a configuration's rate limits.
+func (n *Node) applyLimits(c *config.Config) {
 	if n.off[mechanism.RateLimits] {
 		return
 	}
@@ -31,7 +31,7 @@
 	}
 	changes := n.limiter.SetLimits(c.Organisations, clock.Now())
 	for i, change := range changes {
-		if i == loggedLimits {
+		if i == maxLoggedLimits {
 			break
 		}
 		n.log.WithFields(logrus.Fields{
@@ -41,7 +41,7 @@
 	}
 }
 
-// describeLimit returns a limit for a line of the log.
+// describeLimit formats a limit for a log line.
 func describeLimit(l *config.RateLimit) string {
 	if l == nil {
 		return "none"
@@ -49,101 +49,104 @@
 	return l.String()
 }
 
-// isolatedPart divides an equal share, over all hosts, for a host of a large fleet
-// that hears no other. The others cannot know how many such hosts there are, and leave
-// them nothing: a third of all hosts, out of sight, takes a ninth of a limit, which the
-// tolerance covers.
-const isolatedPart = 3
+// isolatedDivisor divides the equal share, over all hosts, of a host in a large fleet that
+// receives nothing from other hosts. The other hosts cannot know how many such hosts there are,
+// and reserve nothing for them. If a third of all hosts are isolated, they admit a ninth of a
+// limit, which the tolerance covers.
+const isolatedDivisor = 3
 
-// shareLimits tells the limiter of whom this host knows what they let in. A routing host
-// hears the other ones; one on standby hears of all of them from its relays.
-func (n *Node) shareLimits(now time.Time) {
+// updateLimitShares updates the limiter with the number of hosts that share limits, and of those
+// whose usage reports reach this host. A routing host receives reports from the other routing
+// hosts; a standby host receives all of them through its relays.
+func (n *Node) updateLimitShares(now time.Time) {
 	v := n.members.View(now)
-	hosts, live := len(v.Routing), n.limitLive.most(v.Live, now)
-	if now.Sub(n.started) >= firstView {
-		// A host that has just started may have counted small hosts among the routing ones,
-		// while it knew of few large ones.
-		hosts = n.limitSharers.most(hosts, now)
+	hosts, live := len(v.Routing), n.limitLiveHosts.observe(v.Live, now)
+	if now.Sub(n.started) >= discoveryTime {
+		// Right after its start, a host that knew few large hosts may have counted small ones
+		// among the routing hosts.
+		hosts = n.limitHosts.observe(hosts, now)
 	}
 	hosts = max(1, hosts)
-	unheard := n.unheardHosts(v, now)
+	unseen := n.unseenHosts(v, now)
 	others := n.limiter.Hears(v.Routing, now)
-	heard := 1.0
+	reachable := 1.0
 	switch {
 	case v.Here && others > 0:
-		left := max(1, hosts-n.routed.lost(v.Routing, n.members.Lost, now))
-		heard = float64(left) * min(1, float64(others+1)/float64(len(v.Routing)))
-		hosts = addUnheardHosts(hosts, v.Live, unheard)
+		remaining := max(1, hosts-n.routingHistory.countLost(v.Routing, n.members.Lost, now))
+		reachable = float64(remaining) * min(1, float64(others+1)/float64(len(v.Routing)))
+		hosts = addUnseenHosts(hosts, v.Live, unseen)
 	case !v.Here && n.limiter.Hears(v.Relays, now) > 0:
-		heard = float64(hosts)
+		reachable = float64(hosts)
 	case live == 1:
-		hosts = addUnheardHosts(hosts, v.Live, unheard)
+		hosts = addUnseenHosts(hosts, v.Live, unseen)
 	case live > member.FewHosts:
-		hosts = max(hosts, isolatedPart*live)
+		hosts = max(hosts, isolatedDivisor*live)
 	default:
 		// Leaving hosts are no longer routing hosts but still admit requests.
 		hosts = max(hosts, live)
 	}
-	n.limiter.SetHosts(hosts, heard, !v.Here, now)
-	n.noteShare(hosts, v.Live, unheard, now)
+	n.limiter.SetHosts(hosts, reachable, !v.Here, now)
+	n.logShareChange(hosts, v.Live, unseen, now)
 }
 
-// unheardHosts returns an upper estimate of the number of running hosts that this host does
-// not hear. It counts the known addresses from which no host has been heard. Until a starting
-// host has read all addresses from the store, it assumes at least quota.StartHosts in total.
-func (n *Node) unheardHosts(v *member.View, now time.Time) int {
-	unheard := n.unheardAddresses(v, now)
-	if !n.hosts.Synced() && n.members.KnowsOthers() && now.Sub(n.started) < sharersFor {
-		unheard = max(unheard, quota.StartHosts-v.Live)
+// unseenHosts returns an upper estimate of the number of running hosts from which this host
+// receives no heartbeats. It counts the known addresses from which none was received. Until a
+// starting host has read all addresses from the store, it assumes at least quota.StartHosts in
+// total.
+func (n *Node) unseenHosts(v *member.View, now time.Time) int {
+	unseen := n.unseenAddresses(v, now)
+	if !n.hosts.Synced() && n.members.KnowsOthers() && now.Sub(n.started) < countRetention {
+		unseen = max(unseen, quota.StartHosts-v.Live)
 	}
-	return unheard
+	return unseen
 }
 
-// unheardAddresses returns the number of known addresses from which no host has been heard,
-// less the live hosts that this one knows by number alone.
-func (n *Node) unheardAddresses(v *member.View, now time.Time) int {
-	return max(0, n.members.UnheardAddresses(sharersFor, now)-v.Unknown)
+// unseenAddresses returns the number of known addresses from which no heartbeat was received,
+// less the live hosts of which this host knows only the number.
+func (n *Node) unseenAddresses(v *member.View, now time.Time) int {
+	return max(0, n.members.UnheardAddresses(countRetention, now)-v.Unknown)
 }
 
-// addUnheardHosts returns the number of hosts that share limits, including unheard ones. The
-// same fraction of unheard hosts as of live ones is assumed to share limits, rounded up.
-func addUnheardHosts(hosts, live, unheard int) int {
-	return hosts + (hosts*unheard+live-1)/max(1, live)
+// addUnseenHosts returns the number of hosts that share limits, including unseen ones. The same
+// fraction of unseen hosts as of live ones is assumed to share limits, rounded up.
+func addUnseenHosts(hosts, live, unseen int) int {
+	return hosts + (hosts*unseen+live-1)/max(1, live)
 }
 
 // minLoggedShareChange is the smallest change of the share of rate limits that is logged.
 const minLoggedShareChange = 0.05
 
-// noteShare logs a change of this host's share of the rate limits since the last logged value.
-func (n *Node) noteShare(hosts, live, unheard int, now time.Time) {
+// logShareChange logs a change of this host's share of the rate limits since the last logged
+// value.
+func (n *Node) logShareChange(hosts, live, unseen int, now time.Time) {
 	share := n.limiter.Share(now)
 	if math.Abs(share-n.loggedShare) < minLoggedShareChange {
 		return
 	}
-	others, ok := n.shareLines.Allow(now)
+	others, ok := n.shareLogLimiter.Allow(now)
 	if !ok {
 		return
 	}
 	n.log.WithFields(logrus.Fields{
-		"share": share, "before": n.loggedShare, "hosts": hosts, "live": live, "unheard": unheard, "others": others,
+		"share": share, "before": n.loggedShare, "hosts": hosts, "live": live, "unheard": unseen, "others": others,
 	}).Info("share of rate limits changed")
 	n.loggedShare = share
 }
 
-// routed remembers the hosts that routed in the last while, and when they last did.
-type routed map[string]time.Time
+// routingHistory holds the recent routing hosts and when each was last one.
+type routingHistory map[string]time.Time
 
-// lost returns how many hosts that routed a while ago are lost. Others have taken their
-// places here; but those that are lost may be cut off and at work, with others in the places
-// of this one and those that it hears.
-func (r routed) lost(routing []*pb.Heartbeat, isLost func(host string) bool, now time.Time) int {
+// countLost returns how many recent routing hosts have failed. Other hosts have replaced them
+// here, but they may be running on the other side of a partition, where others have replaced
+// this host and its peers.
+func (r routingHistory) countLost(routing []*pb.Heartbeat, isLost func(host string) bool, now time.Time) int {
 	for _, h := range routing {
 		r[h.Host] = now
 	}
 	n := 0
 	for host, at := range r {
 		switch {
-		case now.Sub(at) > sharersFor:
+		case now.Sub(at) > countRetention:
 			delete(r, host)
 		case at.Before(now) && isLost(host):
 			n++
@@ -152,14 +155,14 @@
 	return n
 }
 
-// noteRefusals writes a line for each organisation that is no longer over its limit.
-func (n *Node) noteRefusals(now time.Time) {
+// logEndedEpisodes logs the organisations that are no longer over their limit.
+func (n *Node) logEndedEpisodes(now time.Time) {
 	for _, e := range n.limiter.Ended(now) {
 		n.log.WithFields(logrus.Fields{"organisation": e.Organisation, "refused": e.Refused}).Info("organisation below its rate limit again")
 	}
 }
 
-// quotas returns the organisations' limits for operators, the fullest first.
+// quotas returns the organisations' limits for operators, the most used first.
 func (n *Node) quotas(now time.Time) []*pb.QuotaStatus {
 	states := n.limiter.Status(now)
 	slices.SortFunc(states, func(a, b quota.Status) int {
--- a/internal/node/limits_test.go
+++ b/internal/node/limits_test.go
@@ -13,28 +13,28 @@
 	"github.com/briarlink/briarlink/test/standin/caller"
 )
 
-// limitedConfig gives one organisation a limit of so many requests that a test has time to
-// use it up, and none to have it back.
+// An organisation without and with a limit. A test has time to use up the burst, but not to get
+// it back.
 const (
 	unlimited = `{"Name": "museum-a", "ApiKeys": ["key-of-museum-a"], "Priority": 1}`
 	limited   = `{"Name": "museum-a", "ApiKeys": ["key-of-museum-a"], "Priority": 1, "RatePerS": 0.01, "Burst": 40}`
 )
 
-// TestLimitHoldsOverAllHosts: what an organisation may send it may send in all, whichever
-// hosts it asks; another organisation is served all the while, and a lifted limit is
-// lifted on each host. Before limits were read, all of these requests ran.
+// TestLimitHoldsOverAllHosts checks that an organisation's limit holds for all hosts together,
+// that other organisations are served meanwhile, and that a removed limit ends on each host.
+// Before hosts applied limits, all of these requests ran.
 func TestLimitHoldsOverAllHosts(t *testing.T) {
 	s := newSite(t)
 	s.configure(1, unlimited, limited)
 	a := s.host("a", s.address)
 	b := s.host("b", s.address, a)
 	hosts := []*host{a, b}
-	eventually(t, "two ready hosts that know each other", func() bool {
+	eventually(t, "two ready hosts that list each other", func() bool {
 		return a.ready() && b.ready() && len(a.node.directory("z1")) == 2 && len(b.node.directory("z1")) == 2
 	})
 	view := caller.Request{ID: "v", Method: "GET", Path: "/views/1"}
 	served, refused := 0, 0
-	eventually(t, "refusals of every host", func() bool {
+	eventually(t, "rejections by every host", func() bool {
 		refusals := 0
 		for _, h := range hosts {
 			switch answer := send(t, h.caller(), view); answer.Status {
@@ -49,7 +49,7 @@
 		}
 		return refusals == len(hosts) && served > 0
 	})
-	// Each host's view lacks what the other let in since its last heartbeat.
+	// Each host lacks what the other admitted since its last heartbeat.
 	if served > 60 {
 		t.Errorf("%d requests served of a burst of 40, %d refused", served, refused)
 	}
@@ -64,10 +64,10 @@
 	})
 }
 
-// TestChangedLimitsAreAudited: one line for each limit that changes, with what it was and
-// is; one that cannot be held to is said, and the rest of the configuration is in force.
+// TestChangedLimitsAreAudited checks that each changed limit is logged once with its old and new
+// value, and that an invalid limit is logged while the rest of the configuration applies.
 func TestChangedLimitsAreAudited(t *testing.T) {
-	n := idle(t, "a")
+	n := newIdleNode(t, "a")
 	var out bytes.Buffer
 	n.log.SetOutput(&out)
 	put := func(offset int64, version, organisations string) {
@@ -88,10 +88,10 @@
 	}
 }
 
-// TestPlacesOfLostHostsAreLeftToThem: a fleet is parted; on either side small hosts take the
-// places of the large ones that are lost there. Together both sides keep to the limit. Before
-// the lost ones were remembered, each side took the whole, and twice as much was let in.
-func TestPlacesOfLostHostsAreLeftToThem(t *testing.T) {
+// TestLostRoutingHostsKeepTheirShare checks that the sides of a network partition together keep
+// to the limit while small hosts on each side replace the large ones that are lost there. Before
+// lost hosts were remembered, each side took the whole limit and twice as much was admitted.
+func TestLostRoutingHostsKeepTheirShare(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	hosts := func(names ...string) []*pb.Heartbeat {
 		var out []*pb.Heartbeat
@@ -102,69 +102,69 @@
 	}
 	lost := map[string]bool{}
 	isLost := func(host string) bool { return lost[host] }
-	r := routed{}
-	if n := r.lost(hosts("a", "b", "c", "d", "e"), isLost, now); n != 0 {
+	r := routingHistory{}
+	if n := r.countLost(hosts("a", "b", "c", "d", "e"), isLost, now); n != 0 {
 		t.Errorf("%d lost at first", n)
 	}
 	lost["d"], lost["e"] = true, true
 	now = now.Add(time.Second)
-	if n := r.lost(hosts("a", "b", "c", "small-1", "small-2"), isLost, now); n != 2 {
+	if n := r.countLost(hosts("a", "b", "c", "small-1", "small-2"), isLost, now); n != 2 {
 		t.Errorf("%d of two lost hosts are remembered", n)
 	}
-	// One on standby again is not lost; one that is back neither.
+	// A host that is on standby again, or that is back, does not count as lost.
 	lost["e"] = false
 	now = now.Add(time.Second)
-	if n := r.lost(hosts("a", "b", "c", "small-1", "e"), isLost, now); n != 1 {
+	if n := r.countLost(hosts("a", "b", "c", "small-1", "e"), isLost, now); n != 1 {
 		t.Errorf("%d lost, want 1", n)
 	}
-	now = now.Add(sharersFor)
-	if n := r.lost(hosts("a", "b", "c", "small-1", "e"), isLost, now); n != 0 {
-		t.Errorf("%d lost hosts are remembered for ever", n)
+	now = now.Add(countRetention)
+	if n := r.countLost(hosts("a", "b", "c", "small-1", "e"), isLost, now); n != 0 {
+		t.Errorf("%d lost hosts are never forgotten", n)
 	}
 }
 
-// TestShareCountsUnheardHosts guards against both sides of a network partition each admitting
-// the full limit after their hosts restart. A host that knows five addresses and hears two of
-// them must reserve a share for the other three.
-func TestShareCountsUnheardHosts(t *testing.T) {
-	n := idle(t, "a")
-	n.started = clock.Now().Add(-firstView)
+// TestShareCountsUnseenHosts guards against both sides of a network partition each admitting the
+// full limit after their hosts restart. A host that knows five addresses and receives heartbeats
+// from two of them must reserve a share for the other three.
+func TestShareCountsUnseenHosts(t *testing.T) {
+	n := newIdleNode(t, "a")
+	n.started = clock.Now().Add(-discoveryTime)
 	n.limiter = quota.NewLimiter(quota.Terms{}, time.Second, n.started)
 	n.hosts.Snapshot(platform.Page{}, true)
 	for _, id := range []string{"b", "c", "d", "e", "f"} {
 		n.members.Learn(id+":5", clock.Now())
 	}
 	for _, id := range []string{"b", "c"} {
-		n.heard(&pb.Heartbeat{
+		n.receiveHeartbeat(&pb.Heartbeat{
 			Host: id, PeerAddress: id + ":5", AvailabilityZone: "z1", Incarnation: 1, Sequence: 1, Ready: true, Routing: true,
 		})
 	}
 	now := clock.Now()
-	n.shareLimits(now)
+	n.updateLimitShares(now)
 	if share := n.limiter.Share(now); share != 0.5 {
-		t.Errorf("share is %.2f with three of six hosts heard, want 0.50", share)
+		t.Errorf("share is %.2f with three of six hosts seen, want 0.50", share)
 	}
 }
 
 // TestLeavingHostsDivideLimit guards against each host admitting the full limit while all
 // hosts of a fleet are leaving.
 func TestLeavingHostsDivideLimit(t *testing.T) {
-	n := idle(t, "a")
+	n := newIdleNode(t, "a")
 	n.limiter = quota.NewLimiter(quota.Terms{}, time.Second, clock.Now().Add(-time.Minute))
 	n.hosts.Snapshot(platform.Page{}, true)
-	hear := func(sequence uint64, leaving bool) {
+	receive := func(sequence uint64, leaving bool) {
 		for _, id := range []string{"b", "c", "d"} {
-			n.heard(&pb.Heartbeat{
+			n.receiveHeartbeat(&pb.Heartbeat{
 				Host: id, PeerAddress: id + ":5", AvailabilityZone: "z1", Incarnation: 1, Sequence: sequence,
 				Ready: !leaving, Leaving: leaving, Routing: !leaving,
 			})
 		}
 	}
-	hear(1, false)
-	n.shareLimits(clock.Now())
-	hear(2, true)
+	receive(1, false)
+	n.updateLimitShares(clock.Now())
+	receive(2, true)
 	n.members.SetState(false, true)
-	n.shareLimits(clock.Now())
+	n.updateLimitShares(clock.Now())
 	if share := n.limiter.Share(clock.Now()); share != 0.25 {
 		t.Errorf("share is %.2f with all four hosts leaving, want 0.25", share)
 	}
--- a/internal/node/listen.go
+++ b/internal/node/listen.go
@@ -15,18 +15,18 @@
 	"github.com/briarlink/briarlink/internal/peer"
 )
 
-// headerTimeout is how long a caller may take to send a request's head.
+// headerTimeout is the maximum time for a caller to send a request's headers.
 const headerTimeout = 10 * time.Second
 
-// Listeners are the open sockets of one host, from Listen to the end of Run. Those
-// that the settings leave out are nil.
+// Listeners are the open sockets of one host, from Listen to the end of Run. Those absent from
+// the settings are nil.
 type Listeners struct {
 	callers, ready, directory, operators, metrics, peers net.Listener
 	heartbeats                                           *net.UDPConn
 }
 
-// Listen opens every socket that the settings name, or none. Heartbeats come to the
-// port of the peers' listener, also where its address leaves the choice to the system.
+// Listen opens all sockets of the settings, or none. Heartbeats use the port of the peer
+// listener, also if its port was chosen by the system.
 func Listen(s *pb.ListenSettings) (*Listeners, error) {
 	l := &Listeners{}
 	if err := l.open(s); err != nil {
@@ -62,7 +62,7 @@
 	return errors.Wrap(err, "listen for heartbeats")
 }
 
-// close closes what is open of listeners that nobody serves: a failure to would
+// close closes sockets that were opened but are not served. Errors are ignored, as they would
 // change nothing.
 func (l *Listeners) close() {
 	for _, listener := range []net.Listener{l.callers, l.ready, l.directory, l.operators, l.metrics, l.peers} {
@@ -81,18 +81,18 @@
 	log  *logrus.Logger
 }
 
-// close waits so long for connections to become idle, then cuts them.
+// close waits for connections to become idle, and cuts those that are still open after wait.
 func (s *server) close(wait time.Duration) {
 	ctx, cancel := context.WithTimeout(context.Background(), wait)
 	defer cancel()
 	if err := s.http.Shutdown(ctx); err != nil {
 		s.log.WithError(err).Debug("connections were still open at the end")
-		// What is still open is cut; there is nobody to tell of a failure.
+		// An error is ignored: the connections are abandoned anyway.
 		_ = s.http.Close()
 	}
 }
 
-// serve serves on every listener.
+// serve starts serving on every open listener.
 func (n *Node) serve(ctx context.Context, wg *sync.WaitGroup, l *Listeners, metrics http.Handler) []*server {
 	mux := http.NewServeMux()
 	mux.Handle("GET /metrics", metrics)
@@ -114,7 +114,7 @@
 			servers = append(servers, n.serveHTTP(wg, item.name, item.listener, item.handler))
 		}
 	}
-	wg.Go(func() { n.ended("peers", peer.Serve(ctx, l.peers, &peerService{n: n})) })
+	wg.Go(func() { n.logServeEnd("peers", peer.Serve(ctx, l.peers, &peerService{n: n})) })
 	return servers
 }
 
@@ -129,11 +129,11 @@
 		},
 		log: n.log,
 	}
-	wg.Go(func() { n.ended(name, s.http.Serve(listener)) })
+	wg.Go(func() { n.logServeEnd(name, s.http.Serve(listener)) })
 	return s
 }
 
-func (n *Node) ended(name string, err error) {
+func (n *Node) logServeEnd(name string, err error) {
 	if err == nil || errors.Is(err, http.ErrServerClosed) || errors.Is(err, context.Canceled) {
 		return
 	}
--- a/internal/node/listen_test.go
+++ b/internal/node/listen_test.go
@@ -11,8 +11,9 @@
 	pb "github.com/briarlink/briarlink/api/briarlink/v1"
 )
 
-// TestTakenPortIsTold with its address, whichever it is, and no other is kept.
-func TestTakenPortIsTold(t *testing.T) {
+// TestPortInUseIsReported checks that the error names the address in use, for each listener, and
+// that no other socket stays open.
+func TestPortInUseIsReported(t *testing.T) {
 	others, taken := openAnywhere(t)
 	defer others.close()
 	heartbeats, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -39,12 +40,12 @@
 		if l != nil || !errors.Is(err, syscall.EADDRINUSE) || !strings.Contains(err.Error(), c.address) {
 			t.Errorf("%s: %v", name, err)
 		}
-		half := &Listeners{}
-		if half.open(s) == nil {
-			t.Errorf("%s: all were opened", name)
+		partial := &Listeners{}
+		if partial.open(s) == nil {
+			t.Errorf("%s: all sockets were opened", name)
 		}
-		half.close()
-		for _, l := range []net.Listener{half.callers, half.ready, half.directory, half.operators, half.metrics, half.peers} {
+		partial.close()
+		for _, l := range []net.Listener{partial.callers, partial.ready, partial.directory, partial.operators, partial.metrics, partial.peers} {
 			if l == nil {
 				continue
 			}
--- a/internal/node/loops.go
+++ b/internal/node/loops.go
@@ -13,85 +13,88 @@
 )
 
 const (
-	// configWait is how long a read of the configuration waits at the store: the
-	// price of a call against the time until a silent store is noticed.
-	configWait = 20 * time.Second
-	// frontWait is the same for the frontReaders hosts that come first: a read that a
-	// short silence of the store has swallowed is noticed only at its end, and a
-	// failed call elsewhere may not tell. The others then have records from them.
-	frontWait    = 1500 * time.Millisecond
-	frontReaders = 3
-	// operatorReaders is how many hosts wait at the store for what operators write;
-	// the others have it from them within a heartbeat. More would cost a call each
-	// for each record. Where all of them are out of the store's reach, others step in.
+	// operatorReadWait is how long a read of operators' records waits at the store. A longer
+	// wait costs fewer calls, but an unresponsive store is detected later.
+	operatorReadWait = 20 * time.Second
+	// frontReadWait is the same for the frontReaders hosts that come first by rank. If the store
+	// loses a read while it is briefly unresponsive, this shows only when the wait ends, because
+	// no other call need fail meanwhile. The other hosts then get the records from these.
+	frontReadWait = 1500 * time.Millisecond
+	frontReaders  = 3
+	// operatorReaders is the number of hosts that wait at the store for operators' records. The
+	// others get the records from them within a heartbeat interval; with more readers each
+	// record would cost a call per reader. If none of them reaches the store, other hosts step
+	// in.
 	operatorReaders = 6
-	// operatorsLate is the age of what is known of operators' records from which
-	// other hosts wait for them too, one after the other. It lies above the wait of the
-	// front readers.
-	operatorsLate = 2 * time.Second
-	// operatorsStagger is the pause between two hosts that step in, and operatorsSpread
-	// the time in which the last one has, however many they are: together with
-	// operatorsLate it lies below the time in which a configuration must be in force. In
-	// a large fleet without routing hosts the store gets a call for each host in that time.
+	// operatorsStaleAge is the age of the known operators' records from which other hosts read
+	// them too, one after another. It exceeds frontReadWait.
+	operatorsStaleAge = 2 * time.Second
+	// operatorsStagger is the delay between two hosts that step in, and operatorsSpread the
+	// maximum delay of the last one in a fleet of any size. operatorsSpread and
+	// operatorsStaleAge together are less than the time within which a configuration must be in
+	// force. In a large fleet without routing hosts the store gets a call from every host in
+	// that time.
 	operatorsStagger = 50 * time.Millisecond
 	operatorsSpread  = 700 * time.Millisecond
-	// hostInterval is how often hosts' addresses are read. Heartbeats tell of them
-	// as well, and a read that waited would return for each host that starts.
-	hostInterval = 25 * time.Second
-	// configGap bounds the reads in a storm of configurations.
-	configGap = 30 * time.Millisecond
-	// sweepInterval is how often idle connections and dead hosts are looked for.
+	// hostReadInterval is how often hosts' addresses are read. Heartbeats carry them as well,
+	// and a read that waited at the store would return for each host that starts.
+	hostReadInterval = 25 * time.Second
+	// operatorReadGap is the pause between reads, which limits their rate when many
+	// configurations are written at once.
+	operatorReadGap = 30 * time.Millisecond
+	// sweepInterval is how often idle connections, dead hosts and the like are looked for.
 	sweepInterval = 250 * time.Millisecond
-	// reconnectInterval is how often servers that are thought down are looked at.
+	// reconnectInterval is how often servers that are marked down are probed.
 	reconnectInterval = 100 * time.Millisecond
-	// announceRetry is the pause before a host writes its address again.
+	// announceRetry is the delay before a failed write to the host topic is repeated.
 	announceRetry = time.Second
 )
 
-// loops returns the host's background work.
+// loops returns the host's background loops.
 func (n *Node) loops() []func(context.Context) {
 	follow := func(t *topic.Table, wait, gap time.Duration) *topic.Follower {
 		return &topic.Follower{Store: n.store, Table: t, Access: n.access, Wait: wait, Gap: gap, Log: n.log}
 	}
 	entries := follow(n.servers, 0, n.settings.Replica.PollInterval.AsDuration())
-	entries.Fresh = n.entriesKnown
-	entries.Hold = n.holdFirst
+	entries.Fresh = n.skipsEntryRead
+	entries.Hold = n.delaysFirstRead
 	entries.OnRead = func() {
-		n.becomeReady()
-		n.beatNow()
+		n.markReady()
+		n.requestHeartbeatToAll()
 	}
-	operators := follow(n.operators, configWait, configGap)
+	operators := follow(n.operators, operatorReadWait, operatorReadGap)
 	operators.WaitNow = func() time.Duration { return operatorWait(n.rank()) }
-	operators.Fresh = n.operatorsKnown
-	operators.Hold = n.holdFirst
-	relayed := func() bool { return n.members.Relayed(clock.Now()) }
-	hosts := follow(n.hosts, 0, hostInterval)
-	hosts.Fresh = relayed
-	hosts.Hold = func() bool { return n.holdFirst() || relayed() || n.findsRelay() }
+	operators.Fresh = n.skipsOperatorRead
+	operators.Hold = n.delaysFirstRead
+	hasRelay := func() bool { return n.members.Relayed(clock.Now()) }
+	hosts := follow(n.hosts, 0, hostReadInterval)
+	hosts.Fresh = hasRelay
+	hosts.Hold = func() bool { return n.delaysFirstRead() || hasRelay() || n.awaitsRelay() }
 	return []func(context.Context){
 		operators.Run,
 		entries.Run,
 		hosts.Run,
 		n.announce,
-		n.keepCrashes,
+		n.persistCrashes,
 		n.heartbeats,
-		func(ctx context.Context) { n.gossip.Receive(ctx, n.heard) },
+		func(ctx context.Context) { n.gossip.Receive(ctx, n.receiveHeartbeat) },
 		n.sweep,
 		n.reconnect,
 		n.lease.Follow,
 		n.loader.Run,
 		n.loader.Verify,
-		n.moveServices,
+		n.runCanaries,
 		n.cacheEvents,
 	}
 }
 
-// operatorWait returns how long the host of a rank waits for operators' records.
+// operatorWait returns how long reads of operators' records wait at the store, for the host of a
+// rank.
 func operatorWait(rank int) time.Duration {
 	if rank < frontReaders {
-		return frontWait
+		return frontReadWait
 	}
-	return configWait
+	return operatorReadWait
 }
 
 // announce writes this host's address to the store once.
@@ -107,36 +110,36 @@
 	}
 }
 
-// sweep does what is due now and then.
+// sweep does periodic maintenance.
 func (n *Node) sweep(ctx context.Context) {
 	clock.Every(ctx, sweepInterval, func() {
 		now := clock.Now()
-		n.noteSuspension()
+		n.logSuspension()
 		n.pool.Sweep(now)
 		n.expireHosts(now)
 		if n.access.Stable(now) {
 			n.replicas.Settle()
 		}
 		n.replicas.JoinPaces()
-		n.shareBudget(now)
-		n.noteRefusals(now)
+		n.updateRetryBudget(now)
+		n.logEndedEpisodes(now)
 		n.crashes.Expire(now)
-		n.becomeReady()
-		n.gauges(now)
+		n.markReady()
+		n.updateGauges(now)
 	})
 }
 
-// noteSuspension writes a line when the machine was suspended.
-func (n *Node) noteSuspension() {
+// logSuspension logs that the machine was suspended.
+func (n *Node) logSuspension() {
 	total := clock.Suspended()
-	if total > n.suspended {
-		n.log.WithField("ms", (total - n.suspended).Milliseconds()).Warn("this host's machine was suspended")
-		n.suspended = total
+	if total > n.loggedSuspension {
+		n.log.WithField("ms", (total - n.loggedSuspension).Milliseconds()).Warn("this host's machine was suspended")
+		n.loggedSuspension = total
 	}
 }
 
-// expireHosts notes the hosts that died. Many may at once; some lines name a few and
-// count the others.
+// expireHosts drops the reported loads of hosts that died, and logs them. Many may die at once,
+// so only some are logged by name, with a count of the others.
 func (n *Node) expireHosts(now time.Time) {
 	n.replicas.ExpireLoads(now)
 	died := n.members.Expire(now)
@@ -145,20 +148,20 @@
 	}
 	for i, id := range died {
 		n.replicas.DropLoads(id)
-		if i < loggedHosts {
+		if i < maxLoggedHosts {
 			n.log.WithFields(logrus.Fields{"host": id, "others": len(died) - 1}).Warn("host lost: no heartbeats")
 		}
 	}
 }
 
-// loggedHosts bounds the lines of hosts that died at once.
-const loggedHosts = 10
+// maxLoggedHosts is the maximum number of log lines about hosts that died at once.
+const maxLoggedHosts = 10
 
-// reconnect tries to connect to servers that are thought down, so that no
-// request has to wait for a server that is dark.
+// reconnect probes servers that are marked down, so that no request has to wait for an
+// unresponsive server.
 func (n *Node) reconnect(ctx context.Context) {
 	clock.Every(ctx, reconnectInterval, func() {
-		n.lookAtBroken(ctx)
+		n.probeBroken(ctx)
 		_, due := n.replicas.Down(clock.Now())
 		for id, address := range due {
 			n.pool.Forget(address)
@@ -173,55 +176,55 @@
 	})
 }
 
-// shareBudget divides the slack of the retry budget among the hosts that callers
-// are sent to, once this one knows them.
-func (n *Node) shareBudget(now time.Time) {
+// updateRetryBudget divides the slack of the retry budget among the routing hosts, once they are
+// known.
+func (n *Node) updateRetryBudget(now time.Time) {
 	slack := float64(n.settings.Retry.Slack) * slackShare
 	v := n.members.View(now)
-	if !v.Here || now.Sub(n.started) < firstView {
+	if !v.Here || now.Sub(n.started) < discoveryTime {
 		slack = 0
 	}
-	hosts := n.sharers.most(len(v.Routing), now)
-	// Hosts restarted during a partition have heard from their own side only.
-	n.budget.SetHosts(slack, addUnheardHosts(hosts, v.Live, n.unheardAddresses(v, now)))
+	hosts := n.budgetHosts.observe(len(v.Routing), now)
+	// Hosts restarted during a partition have received heartbeats from their own side only.
+	n.budget.SetHosts(slack, addUnseenHosts(hosts, v.Live, n.unseenAddresses(v, now)))
 }
 
-// firstView is how long a host that has just started may know of fewer hosts than share
-// the slack. Until then it repeats by the ratio alone, as the share of a host that knows
-// nobody is the whole: the shares of a fleet that starts at once add up to many times the
-// slack. A lone host has its slack this much later.
-const firstView = 4 * time.Second
+// discoveryTime is how long a starting host may know fewer hosts than share the slack. Until
+// then it retries by the ratio alone: a host that knows no other would take the whole slack, and
+// the shares of a fleet that starts at once would add up to many times the slack. A lone host
+// gets its slack only after this time.
+const discoveryTime = 4 * time.Second
 
-// sharers remembers the most routing hosts of the last while. A host that is cut off
-// knows of fewer; it must not spend the share of those that it no longer hears.
-type sharers struct {
-	hosts int
+// recentMax is a recent maximum of a number of hosts. A partitioned host sees fewer hosts and
+// must not spend the share of those that it can no longer reach.
+type recentMax struct {
+	count int
 	since time.Time
 }
 
-// sharersFor is how long more hosts than are known now share the budget: two of its
+// countRetention is how long a higher number of hosts is remembered: two of the retry budget's
 // usual windows.
-const sharersFor = 20 * time.Second
+const countRetention = 20 * time.Second
 
-func (s *sharers) most(hosts int, now time.Time) int {
-	if hosts >= s.hosts || now.Sub(s.since) > sharersFor {
-		s.hosts, s.since = hosts, now
+func (m *recentMax) observe(count int, now time.Time) int {
+	if count >= m.count || now.Sub(m.since) > countRetention {
+		m.count, m.since = count, now
 	}
-	return s.hosts
+	return m.count
 }
 
-func (n *Node) becomeReady() {
+func (n *Node) markReady() {
 	if n.config.Load() == nil || !n.servers.Synced() {
 		return
 	}
-	if statemachine.Fire(n.machine, eventKnow) {
+	if statemachine.Fire(n.machine, eventSynced) {
 		n.setState()
 		n.log.WithFields(logrus.Fields{"config": n.config.Load().Version, "replicas": n.replicas.Count()}).Info("ready")
-		n.beatNow()
+		n.requestHeartbeatToAll()
 	}
 }
 
-func (n *Node) gauges(now time.Time) {
+func (n *Node) updateGauges(now time.Time) {
 	m := n.metrics
 	if c := n.config.Load(); c != nil {
 		m.ConfigVersion.Update(float64(c.Version))
@@ -231,8 +234,8 @@
 	m.Hosts.Update(float64(v.Live))
 	m.RoutingHosts.Update(float64(len(v.Routing)))
 	m.Replicas.Update(float64(n.replicas.Count()))
-	lacking, longest := n.replicas.Lacking(now)
-	m.Lacking.Update(float64(lacking))
+	outdated, longest := n.replicas.Lacking(now)
+	m.Lacking.Update(float64(outdated))
 	m.LackingAge.Update(longest.Seconds())
 	_, _, here := n.lease.Holder()
 	held := 0.0
@@ -241,7 +244,7 @@
 	}
 	m.LeaseHeld.Update(held)
 	m.Connections.Update(float64(n.pool.Opened()))
-	m.BulkRead.Update(float64(n.bulk.Spent()))
+	m.BulkRead.Update(float64(n.bulkReads.Spent()))
 	m.Quarantined.Update(float64(n.crashes.Count(now)))
-	m.DroppedLines.Update(float64(n.lines.Dropped()))
+	m.DroppedLines.Update(float64(n.logWriter.Dropped()))
 }
--- a/internal/node/moves.go
+++ b/internal/node/moves.go
@@ -18,16 +18,16 @@
 )
 
 const (
-	// moveTick is how often a move to another version is looked at.
-	moveTick = 100 * time.Millisecond
-	// moveRankDelay separates hosts that could all take the lease for moves.
-	moveRankDelay = 200 * time.Millisecond
-	// moveRetry is the pause after a status that was not written.
-	moveRetry = 300 * time.Millisecond
+	// canaryTick is how often canary releases are evaluated.
+	canaryTick = 100 * time.Millisecond
+	// canaryRankDelay is the delay between two hosts' attempts to take the canary lease.
+	canaryRankDelay = 200 * time.Millisecond
+	// canaryRetryDelay is the pause after a failed write of a status.
+	canaryRetryDelay = 300 * time.Millisecond
 )
 
-// moveOrdered takes an operators' order to move a service to another version.
-func (n *Node) moveOrdered(rec platform.Record) {
+// applyReleaseOrder applies an operators' order to move a service to another version.
+func (n *Node) applyReleaseOrder(rec platform.Record) {
 	o, ok, err := platform.DecodeMove(rec)
 	if !ok {
 		return
@@ -36,67 +36,67 @@
 		n.log.WithError(err).WithField("offset", rec.Offset).Error("order to move a service not taken")
 		return
 	}
-	n.moves.Ordered(o, clock.Now())
-	n.firstMove.Do(func() { close(n.movesOrdered) })
+	n.canaries.Ordered(o, clock.Now())
+	n.firstRelease.Do(func() { close(n.releaseOrdered) })
 }
 
-// statusRecord takes what the store keeps of a service's last order.
-func (n *Node) statusRecord(rec platform.Record, _ topic.Origin) {
+// applyStatusRecord applies the stored status of a service's last order.
+func (n *Node) applyStatusRecord(rec platform.Record, _ topic.Origin) {
 	st, ok, err := platform.DecodeMoveStatus(rec)
 	if err != nil {
 		n.log.WithError(err).WithField("offset", rec.Offset).Error("status of an order not taken")
 		return
 	}
 	if ok {
-		n.moves.Stored(st, clock.Now())
+		n.canaries.Stored(st, clock.Now())
 	}
 }
 
-// moveServices carries out orders to move services to other versions, once there is one.
-func (n *Node) moveServices(ctx context.Context) {
+// runCanaries runs canary releases once the first one is ordered.
+func (n *Node) runCanaries(ctx context.Context) {
 	select {
 	case <-ctx.Done():
 		return
-	case <-n.movesOrdered:
+	case <-n.releaseOrdered:
 	}
 	go n.followStatuses(ctx)
-	go n.moveLease.Follow(ctx)
-	clock.Every(ctx, moveTick, func() {
+	go n.canaryLease.Follow(ctx)
+	clock.Every(ctx, canaryTick, func() {
 		now := clock.Now()
-		for _, service := range n.moves.Active() {
-			n.moveService(ctx, service, now)
+		for _, service := range n.canaries.Active() {
+			n.runCanary(ctx, service, now)
 		}
 	})
 }
 
-// followStatuses reads what the store keeps of orders.
+// followStatuses reads the stored statuses of release orders.
 func (n *Node) followStatuses(ctx context.Context) {
 	f := &topic.Follower{
-		Store: absentTopic{n.store}, Table: n.statuses, Access: n.access, Wait: configWait, Gap: configGap, Log: n.log,
+		Store: optionalTopic{n.store}, Table: n.releaseStatuses, Access: n.access, Wait: operatorReadWait, Gap: operatorReadGap, Log: n.log,
 		WaitNow: func() time.Duration { return operatorWait(n.rank()) },
-		Fresh:   n.operatorsKnown,
-		// A standby host is told by its relays.
-		Hold: func() bool { return n.holdFirst() || n.members.Relayed(clock.Now()) },
+		Fresh:   n.skipsOperatorRead,
+		// A standby host gets the statuses through its relays.
+		Hold: func() bool { return n.delaysFirstRead() || n.members.Relayed(clock.Now()) },
 	}
 	f.Run(ctx)
 }
 
-// absentTopic takes a topic that nobody has written to for an empty one.
-type absentTopic struct{ topic.Reader }
+// optionalTopic reads a topic that does not exist yet as an empty one.
+type optionalTopic struct{ topic.Reader }
 
 // Newest implements topic.Reader.
-func (a absentTopic) Newest(ctx context.Context, name string) (platform.Page, error) {
+func (a optionalTopic) Newest(ctx context.Context, name string) (platform.Page, error) {
 	page, err := a.Reader.Newest(ctx, name)
-	return page, present(err)
+	return page, ignoreNotFound(err)
 }
 
 // Read implements topic.Reader.
-func (a absentTopic) Read(ctx context.Context, name string, from int64, wait time.Duration) (platform.Page, error) {
+func (a optionalTopic) Read(ctx context.Context, name string, from int64, wait time.Duration) (platform.Page, error) {
 	page, err := a.Reader.Read(ctx, name, from, wait)
-	return page, present(err)
+	return page, ignoreNotFound(err)
 }
 
-func present(err error) error {
+func ignoreNotFound(err error) error {
 	var status *platform.StatusError
 	if errors.As(err, &status) && status.Status == http.StatusNotFound {
 		return nil
@@ -104,29 +104,29 @@
 	return err
 }
 
-// moveService looks at the answers of a service that is being moved, and decides where this
+// runCanary evaluates the answers of a service's canary release, and decides about it if this
 // host holds the lease.
-func (n *Node) moveService(ctx context.Context, service string, now time.Time) {
+func (n *Node) runCanary(ctx context.Context, service string, now time.Time) {
 	versions := n.replicas.Versions(service, now)
-	target := n.moves.Target(service)
-	situation := situationOf(versions, target)
+	target := n.canaries.Target(service)
+	load := serviceLoad(versions, target)
 	v := n.members.View(now)
-	situation.Hosts = addUnheardHosts(n.moveSharers.most(len(v.Routing), now), v.Live, n.unheardAddresses(v, now))
-	n.moves.Judge(service, situation.Targets, now)
-	if !n.statuses.Synced() || !n.decidesMoves(ctx, now) {
+	load.Hosts = addUnseenHosts(n.canaryHosts.observe(len(v.Routing), now), v.Live, n.unseenAddresses(v, now))
+	n.canaries.Judge(service, load.Targets, now)
+	if !n.releaseStatuses.Synced() || !n.acquireCanaryLease(ctx, now) {
 		return
 	}
-	generation := n.moveLease.Fencing()
-	d, st := n.moves.Decide(service, generation, situation, slices.Sorted(maps.Keys(versions)), now)
+	generation := n.canaryLease.Fencing()
+	d, st := n.canaries.Decide(service, generation, load, slices.Sorted(maps.Keys(versions)), now)
 	if st != nil {
-		n.writeMove(ctx, *st, d)
+		n.writeReleaseStatus(ctx, *st, d)
 		return
 	}
-	n.beatSoon()
+	n.requestHeartbeat()
 }
 
-// situationOf sums up the servers with the target's version and with others.
-func situationOf(versions map[string]replica.VersionLoad, target string) canary.Situation {
+// serviceLoad sums up the servers and requests of the target version and of the other ones.
+func serviceLoad(versions map[string]replica.VersionLoad, target string) canary.Situation {
 	var s canary.Situation
 	for version, v := range versions {
 		s.Running += v.Requests
@@ -141,44 +141,44 @@
 	return s
 }
 
-// decidesMoves takes or renews the lease for moves in this host's turn, and reports whether
-// it decides.
-func (n *Node) decidesMoves(ctx context.Context, now time.Time) bool {
-	if _, _, held := n.moveLease.Holder(); !held && !n.mayDecideMoves(now) {
+// acquireCanaryLease takes or renews the canary lease when it is this host's turn, and reports
+// whether this host decides.
+func (n *Node) acquireCanaryLease(ctx context.Context, now time.Time) bool {
+	if _, _, held := n.canaryLease.Holder(); !held && !n.mayAcquireCanaryLease(now) {
 		return false
 	}
-	return n.moveLease.Try(ctx)
+	return n.canaryLease.Try(ctx)
 }
 
-// mayDecideMoves reports whether it is this host's turn to take the lease: routing hosts
-// follow each other by rank.
-func (n *Node) mayDecideMoves(now time.Time) bool {
+// mayAcquireCanaryLease reports whether it is this host's turn to take the lease. Routing hosts
+// try it one after another, by rank.
+func (n *Node) mayAcquireCanaryLease(now time.Time) bool {
 	v := n.members.View(now)
-	vacant := n.moveLease.VacantSince(now)
-	return !vacant.IsZero() && v.Here && now.Sub(vacant) >= time.Duration(v.Rank)*moveRankDelay
+	vacant := n.canaryLease.VacantSince(now)
+	return !vacant.IsZero() && v.Here && now.Sub(vacant) >= time.Duration(v.Rank)*canaryRankDelay
 }
 
-// writeMove writes the status of an order. Another host's is read first where there is one.
-func (n *Node) writeMove(ctx context.Context, st canary.Status, d canary.Decision) {
-	line := n.log.WithFields(logrus.Fields{
+// writeReleaseStatus writes the status of an order, unless another host has written one that
+// this host has not read yet.
+func (n *Node) writeReleaseStatus(ctx context.Context, st canary.Status, d canary.Decision) {
+	logEntry := n.log.WithFields(logrus.Fields{
 		"service": st.Service, "target": st.Target, "state": st.State, "fencing": st.Generation, "reason": d.Reason,
 	})
-	end := n.statuses.End()
+	end := n.releaseStatuses.End()
 	rec := platform.EncodeMoveStatus(st)
 	offset, err := n.store.Append(ctx, platform.StatusTopic, rec, end)
 	if err != nil {
-		line.WithError(err).Warn("status of a move not written; trying again")
-		clock.Sleep(ctx, moveRetry)
+		logEntry.WithError(err).Warn("status of a move not written; trying again")
+		clock.Sleep(ctx, canaryRetryDelay)
 		return
 	}
-	line.Info("status of a move written")
+	logEntry.Info("status of a move written")
 	rec.Offset = offset
-	n.statuses.Merge([]platform.Record{rec}, offset+1, true)
-	n.beatNow()
+	n.releaseStatuses.Merge([]platform.Record{rec}, offset+1, true)
+	n.requestHeartbeatToAll()
 }
 
-// followsMoveLease reports whether this host is among those that may take the lease for
-// moves.
-func (n *Node) followsMoveLease() bool {
-	return len(n.moves.Active()) > 0 && n.followsLease()
+// followsCanaryLease reports whether this host may take the canary lease.
+func (n *Node) followsCanaryLease() bool {
+	return len(n.canaries.Active()) > 0 && n.followsLease()
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,11 +1,10 @@
-// Package node wires one entry host together and runs it.
+// Package node wires the components of one entry host together and runs them.
 //
-// Lock order: every table (topic.Table, member.Table, replica.Table,
-// prefix.Index, retry.Budget, quota.Limiter, quarantine.Table, rollout.Lease, rollout.Loader,
-// canary.Table) is locked alone; no
-// lock is held over a call to another table or process, but for Node.stating, which
-// comes before member.Table. A topic.Table tells of one record at a time, without its
-// lock.
+// Lock order: the tables (topic.Table, member.Table, replica.Table, prefix.Index, retry.Budget,
+// quota.Limiter, quarantine.Table, rollout.Lease, rollout.Loader, canary.Table) are never locked
+// two at a time, and no lock is held during a call to another table or process. The exception is
+// Node.stateMu, which is taken before the lock of member.Table. A topic.Table delivers one
+// record at a time, without holding its lock.
 package node
 
 import (
@@ -53,22 +52,22 @@
 const (
 	StateStarting = "starting"
 	StateReady    = "ready"
-	// StateLeaving hosts are named to no caller, and serve those that come.
+	// StateLeaving means that directories no longer list the host, but it still serves requests.
 	StateLeaving = "leaving"
-	// StateClosing hosts refuse new requests and finish those they have.
+	// StateClosing means that the host rejects new requests and finishes open ones.
 	StateClosing = "closing"
 )
 
 const (
-	eventKnow  = "configuration and replicas known"
-	eventTerm  = "stop asked for"
-	eventClose = "callers had time to go elsewhere"
+	eventSynced = "configuration and replicas known"
+	eventStop   = "stop asked for"
+	eventClose  = "callers had time to go elsewhere"
 )
 
 func newMachine() *fsm.FSM {
 	return fsm.NewFSM(StateStarting, fsm.Events{
-		{Name: eventKnow, Src: []string{StateStarting}, Dst: StateReady},
-		{Name: eventTerm, Src: []string{StateStarting, StateReady}, Dst: StateLeaving},
+		{Name: eventSynced, Src: []string{StateStarting}, Dst: StateReady},
+		{Name: eventStop, Src: []string{StateStarting, StateReady}, Dst: StateLeaving},
 		{Name: eventClose, Src: []string{StateLeaving}, Dst: StateClosing},
 	}, fsm.Callbacks{})
 }
@@ -76,25 +75,25 @@
 // Diagram returns the host's state machine as a Mermaid diagram.
 func Diagram() string { return statemachine.Diagram(newMachine()) }
 
-// memoryShare of the process's memory is where the garbage collector works
-// harder; the rest is for sockets and for what the runtime does not count.
-const memoryShare = 0.6
+// memoryLimitShare is the garbage collector's soft limit as a share of the process's memory. The
+// remainder is for sockets and for memory that the Go runtime does not count.
+const memoryLimitShare = 0.6
 
 // Node is one entry host.
 type Node struct {
 	settings *pb.Settings
-	// off holds the mechanisms that are switched off.
+	// off holds the disabled mechanisms.
 	off         mechanism.Off
 	log         *logrus.Logger
-	lines       *obs.Writer
+	logWriter   *obs.Writer
 	incarnation uint64
 	machine     *fsm.FSM
 
 	store   *platform.Store
 	engines *platform.Engines
-	// bulk is what this host may read in bulk, and bulkSent what it may send.
-	bulk      *bandwidth.Budget
-	bulkSent  *bandwidth.Budget
+	// bulkReads limits bulk transfers to this host, and bulkSends those from it.
+	bulkReads *bandwidth.Budget
+	bulkSends *bandwidth.Budget
 	access    *topic.Access
 	operators *topic.Table
 	servers   *topic.Table
@@ -112,105 +111,110 @@
 	limiter   *quota.Limiter
 	crashes   *quarantine.Table
 	lease     *rollout.Lease
-	// moves are the moves of services to other versions of their software, moveLease the
-	// right to decide about them, and statuses what the store keeps of them. movesOrdered is
-	// closed by the first order.
-	moves        *canary.Table
-	moveLease    *rollout.Lease
-	statuses     *topic.Table
-	movesOrdered chan struct{}
-	firstMove    sync.Once
-	loader       *rollout.Loader
-	metrics      *obs.Metrics
-	entry        *entry.Server
+	// canaries are the canary releases of services, canaryLease is the right to decide about
+	// them, and releaseStatuses are their statuses as stored. releaseOrdered is closed by the
+	// first order.
+	canaries        *canary.Table
+	canaryLease     *rollout.Lease
+	releaseStatuses *topic.Table
+	releaseOrdered  chan struct{}
+	firstRelease    sync.Once
+	loader          *rollout.Loader
+	metrics         *obs.Metrics
+	entry           *entry.Server
 
-	// stating is held while the table of hosts is told of this host's state, and over
+	// stateMu serialises reports of this host's state to the membership table, and is held over
 	// no other call.
-	stating  sync.Mutex
-	sequence atomic.Uint64
-	sharers  sharers
-	// limitSharers are those that share rate limits; the heartbeats' alone.
-	limitSharers sharers
-	// moveSharers are those that share what a new version may get; the loop's of moves alone.
-	moveSharers sharers
-	// limitLive is the same of all hosts, and routed who they were.
-	limitLive sharers
-	routed    routed
-	// loggedShare is the last logged share of rate limits, and shareLines rate-limits these
-	// log lines. Both are used only by the heartbeat loop.
-	loggedShare float64
-	shareLines  obs.Limiter
-	// started is when the process began; holdFor is how long it waits for other hosts'
-	// word before it asks the store.
-	started time.Time
-	holdFor time.Duration
-	// suspended is the time of the machine's suspensions that the log tells; the sweep's
-	// alone.
-	suspended time.Duration
-	// malformed bounds the lines about records that are not what they should be,
-	// changes those about other hosts.
-	malformed, changes obs.Limiter
-	// fetches are those of each topic from other hosts.
+	stateMu     sync.Mutex
+	sequence    atomic.Uint64
+	budgetHosts recentMax
+	// limitHosts is the recent maximum of hosts that share rate limits. Only the heartbeat loop
+	// uses it.
+	limitHosts recentMax
+	// canaryHosts is the recent maximum of hosts that share a canary's exposure limit. Only the
+	// canary loop uses it.
+	canaryHosts recentMax
+	// limitLiveHosts is the recent maximum of live hosts, and routingHistory names the recent
+	// routing hosts.
+	limitLiveHosts recentMax
+	routingHistory routingHistory
+	// loggedShare is the last logged share of rate limits, and shareLogLimiter rate-limits these
+	// log lines. Only the heartbeat loop uses them.
+	loggedShare     float64
+	shareLogLimiter obs.Limiter
+	// started is when the process started. firstReadDelay is how long it waits for records from
+	// other hosts before it reads the store.
+	started        time.Time
+	firstReadDelay time.Duration
+	// loggedSuspension is the total time of machine suspensions logged so far. Only the sweep
+	// loop uses it.
+	loggedSuspension time.Duration
+	// malformedLogLimiter rate-limits log lines about malformed records, hostLogLimiter those
+	// about changes of other hosts.
+	malformedLogLimiter, hostLogLimiter obs.Limiter
+	// fetches holds, by topic name, the state of record fetches from other hosts.
 	fetches map[string]*fetches
-	// kick asks for a heartbeat at once.
-	kick chan struct{}
-	// toAll is set while the next heartbeat is for every host.
-	toAll atomic.Bool
-	// told is what the others know of this host's work; the heartbeats' alone.
-	told replica.Told
-	// serving bounds the peers that fetch from this host at once, and packed keeps what they
-	// are sent.
-	serving *semaphore.Weighted
-	packed  packed
-	// recordsOffered is when a host last offered a topic that this one does not know whole.
+	// heartbeatRequested requests a heartbeat before the next interval.
+	heartbeatRequested chan struct{}
+	// heartbeatToAll is set if the next requested heartbeat goes to every peer, not only to
+	// routing hosts.
+	heartbeatToAll atomic.Bool
+	// loadReports tracks what has been reported of this host's requests. Only the heartbeat loop
+	// uses it.
+	loadReports replica.Told
+	// fetchSlots limits the record fetches served at once, and responses caches the answers to
+	// them.
+	fetchSlots *semaphore.Weighted
+	responses  responseCache
+	// recordsOffered is when a host last offered a topic that this host has not synced yet.
 	recordsOffered topic.Freshness
-	// waitsForOperators is whether this host reads operators' records itself.
-	waitsForOperators atomic.Bool
-	// followed is the number of holders of KV cache whose events this host reads.
-	followed atomic.Int64
-	// operatorsFresh and entriesFresh are since when the topics are known whole by
-	// other hosts' word.
-	operatorsFresh, entriesFresh topic.Freshness
+	// longPollsOperators is whether this host itself waits at the store for operators' records.
+	longPollsOperators atomic.Bool
+	// followedHolders is the number of holders of KV cache whose events this host follows.
+	followedHolders atomic.Int64
+	// operatorsFreshness and entriesFreshness are the times up to which other hosts' reports
+	// show the operators' records and the backend servers' entries to be complete.
+	operatorsFreshness, entriesFreshness topic.Freshness
 }
 
-// New returns a host that is not running yet. lines is the log's writer; the
-// mechanisms in off are switched off.
-func New(s *pb.Settings, off mechanism.Off, log *logrus.Logger, lines *obs.Writer) *Node {
+// New returns a host that is not running yet. logWriter is the writer behind log; the mechanisms
+// in off are disabled.
+func New(s *pb.Settings, off mechanism.Off, log *logrus.Logger, logWriter *obs.Writer) *Node {
 	n := &Node{
-		settings:    s,
-		off:         off,
-		log:         log,
-		lines:       lines,
-		incarnation: rand.Uint64(),
-		machine:     newMachine(),
-		store:       platform.NewStore(s.Platform.Address, s.Platform.CallTimeout.AsDuration()),
-		engines:     platform.NewEngines(),
-		bulk:        bandwidth.NewBudget(s.Host.LinkMbps),
-		bulkSent:    bandwidth.NewBudget(s.Host.LinkMbps),
-		access:      topic.NewAccess(s.Replica.OutageGrace.AsDuration(), log),
-		peers:       peer.NewClient(),
-		index:       prefix.NewIndex(),
-		pool:        upstream.NewPool(),
-		kick:        make(chan struct{}, 1),
-		serving:     semaphore.NewWeighted(maxServed),
-		packed:      packed{last: map[span][]byte{}},
-		started:     clock.Now(),
-		routed:      routed{},
-		holdFor:     firstHold(s.Member),
+		settings:           s,
+		off:                off,
+		log:                log,
+		logWriter:          logWriter,
+		incarnation:        rand.Uint64(),
+		machine:            newMachine(),
+		store:              platform.NewStore(s.Platform.Address, s.Platform.CallTimeout.AsDuration()),
+		engines:            platform.NewEngines(),
+		bulkReads:          bandwidth.NewBudget(s.Host.LinkMbps),
+		bulkSends:          bandwidth.NewBudget(s.Host.LinkMbps),
+		access:             topic.NewAccess(s.Replica.OutageGrace.AsDuration(), log),
+		peers:              peer.NewClient(),
+		index:              prefix.NewIndex(),
+		pool:               upstream.NewPool(),
+		heartbeatRequested: make(chan struct{}, 1),
+		fetchSlots:         semaphore.NewWeighted(maxServedFetches),
+		responses:          responseCache{deflated: map[recordRange][]byte{}},
+		started:            clock.Now(),
+		routingHistory:     routingHistory{},
+		firstReadDelay:     chooseFirstReadDelay(s.Member),
 	}
 	n.members = member.NewTable(n.self(), s.Member.DeadAfter.AsDuration())
 	if off[mechanism.PrimaryHosts] {
 		n.members.ChooseAll()
 	}
-	n.operators = topic.NewTable(platform.OperatorTopic, n.operatorRecord)
-	n.servers = topic.NewTable(platform.ReplicaTopic, n.replicaRecord)
-	n.hosts = topic.NewTable(platform.HostTopic, n.hostRecord)
-	n.statuses = topic.NewTable(platform.StatusTopic, n.statusRecord)
-	n.movesOrdered = make(chan struct{})
-	n.moves = canary.NewTable(canary.Terms{Share: s.Move.Share, Slack: s.Move.Slack, RollBack: s.Move.RollBack.AsDuration()}, log)
+	n.operators = topic.NewTable(platform.OperatorTopic, n.applyOperatorRecord)
+	n.servers = topic.NewTable(platform.ReplicaTopic, n.applyReplicaRecord)
+	n.hosts = topic.NewTable(platform.HostTopic, n.applyHostRecord)
+	n.releaseStatuses = topic.NewTable(platform.StatusTopic, n.applyStatusRecord)
+	n.releaseOrdered = make(chan struct{})
+	n.canaries = canary.NewTable(canary.Terms{Share: s.Move.Share, Slack: s.Move.Slack, RollBack: s.Move.RollBack.AsDuration()}, log)
 	n.fetches = map[string]*fetches{}
-	for _, t := range n.shared() {
-		n.fetches[t.Name()] = &fetches{refused: map[string]time.Time{}}
+	for _, t := range n.sharedTopics() {
+		n.fetches[t.Name()] = &fetches{retryAfter: map[string]time.Time{}}
 	}
 	n.replicas = replica.NewTable(log, func(id, address string) {
 		n.index.Clear(id)
@@ -228,9 +232,9 @@
 	policy := route.DefaultPolicy().Without(off)
 	policy.WeightsDeadline = s.Weights.Deadline.AsDuration()
 	n.scheduler = schedule.New(n.replicas, n.index, policy, s.Host.AvailabilityZone, s.Request.ShareCache)
-	n.scheduler.Tell = n.beatSoon
+	n.scheduler.Tell = n.requestHeartbeat
 	n.scheduler.Off = off
-	n.scheduler.Moves = n.moves
+	n.scheduler.Moves = n.canaries
 	n.budget = retry.NewBudget(s.Retry.Ratio, s.Retry.Window.AsDuration(), 0, 1, n.started)
 	n.limiter = quota.NewLimiter(quota.Terms{
 		Window: s.Quota.Window.AsDuration(), Over: s.Quota.Over, Slack: s.Quota.Slack,
@@ -238,25 +242,25 @@
 	n.limiter.EqualShares = off[mechanism.SharedCounts]
 	n.lease = rollout.NewLease(n.store, log, s.Host.Id, n.incarnation, s.Weights.Lease.AsDuration())
 	n.lease.Follows = n.followsLease
-	n.moveLease = rollout.NewLease(n.store, log, s.Host.Id, n.incarnation, s.Weights.Lease.AsDuration())
-	n.moveLease.Topic, n.moveLease.Purpose, n.moveLease.Follows = platform.MoveLeaseTopic, "moves", n.followsMoveLease
+	n.canaryLease = rollout.NewLease(n.store, log, s.Host.Id, n.incarnation, s.Weights.Lease.AsDuration())
+	n.canaryLease.Topic, n.canaryLease.Purpose, n.canaryLease.Follows = platform.MoveLeaseTopic, "moves", n.followsCanaryLease
 	n.loader = rollout.NewLoader(n.lease, n.engines, n.replicas, log, s.Host.Id, platform.LoadMode(s.Weights.Mode), int(s.Weights.Concurrency))
 	n.loader.Rank = n.rank
-	n.loader.Changed = n.beatSoon
+	n.loader.Changed = n.requestHeartbeat
 	n.loader.Loaded = n.index.Clear
 	n.loader.Ordered = func() { n.metrics.Orders.Inc(1) }
 	return n
 }
 
-// slackShare of the budget's slack is spent: other hosts may count a window that
-// begins a little earlier or later.
+// Hosts spend only slackShare of the retry budget's slack, as windows of other hosts may begin
+// slightly earlier or later.
 const slackShare = 0.7
 
-// Run serves on the listeners until ctx ends, then stops gracefully and has closed
-// them.
+// Run serves on the listeners until ctx ends, then stops gracefully. It closes the listeners
+// before it returns.
 func (n *Node) Run(ctx context.Context, l *Listeners) {
 	if mb := n.settings.Host.MemoryMb; mb > 0 {
-		debug.SetMemoryLimit(int64(float64(mb<<20) * memoryShare))
+		debug.SetMemoryLimit(int64(float64(mb<<20) * memoryLimitShare))
 	}
 	metrics, metricsHandler, closer := obs.NewMetrics()
 	defer closer.Close()
@@ -264,7 +268,7 @@
 	n.buildEntry()
 	n.gossip = member.NewGossip(l.heartbeats, n.log)
 	n.gossip.Sent = n.countSent
-	// Background work outlives ctx: a graceful stop still needs it.
+	// Background work outlives ctx because the graceful stop needs it.
 	work, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -297,7 +301,7 @@
 	dispatcher := dispatch.New(n.scheduler, n.replicas, n.pool, n.budget, n.crashes)
 	dispatcher.Off = n.off
 	n.entry = entry.New(entry.Deps{
-		View:            n.view,
+		View:            n.entryView,
 		Refuse:          n.refuse,
 		Ready:           n.ready,
 		Closing:         n.leaving,
@@ -305,7 +309,7 @@
 		AnswerTTL:       s.Request.AnswerTtl.AsDuration(),
 		Dispatcher:      dispatcher,
 		Limiter:         n.limiter,
-		Tell:            n.beatSoon,
+		Tell:            n.requestHeartbeat,
 		Metrics:         n.metrics,
 		Log:             n.log,
 		MaxBodyBytes:    s.Request.MaxBodyBytes,
@@ -313,7 +317,7 @@
 	})
 }
 
-// refuse returns an error while the host takes no new requests.
+// refuse returns an error while the host accepts no new requests.
 func (n *Node) refuse() error {
 	switch {
 	case n.machine.Is(StateClosing):
@@ -325,7 +329,7 @@
 	}
 }
 
-// directory returns the hosts that callers in an availability zone should use.
+// directory returns, in random order, addresses of hosts for callers in an availability zone.
 func (n *Node) directory(zone string) []string {
 	var out []string
 	for _, h := range hostsFor(zone, n.members.View(clock.Now()).Serving) {
@@ -336,108 +340,109 @@
 }
 
 const (
-	// largeHost is the share of the largest host's processor time from which a host is
-	// large, and enoughLarge the share of all that the large ones must give together to
-	// carry what all are there for.
-	largeHost   = 0.5
-	enoughLarge = 0.5
-	// leastNear is the least number of hosts of a zone: one may be lost.
-	leastNear = 2
+	// A host is large if it has at least largeHostShare of the cores of the largest host. Large
+	// hosts suffice on their own if they have at least minLargeShare of all cores.
+	largeHostShare = 0.5
+	minLargeShare  = 0.5
+	// minZoneHosts is the minimum number of hosts listed for a zone, so that one may fail.
+	minZoneHosts = 2
 )
 
-// hostsFor returns those of the serving hosts that callers in an availability zone should use:
-// those of the zone, so that little crosses zones, or all where the zone has too few. Callers
-// pick any of them, a small host as often as a large one: small hosts, which route where a
-// zone has lost its large ones, are named only where the large ones are too few for all.
+// hostsFor returns the serving hosts that callers in an availability zone should use: those in
+// the zone, to limit cross-zone traffic, or all if the zone has too few. Callers choose among
+// them uniformly, so small hosts, which route where a zone has lost its large ones, are listed
+// only if the large ones have too few cores in all.
 func hostsFor(zone string, serving []*pb.Heartbeat) []*pb.Heartbeat {
-	most, all := 0.0, 0.0
+	maxCores, totalCores := 0.0, 0.0
 	for _, h := range serving {
-		most = max(most, h.Cores)
-		all += h.Cores
+		maxCores = max(maxCores, h.Cores)
+		totalCores += h.Cores
 	}
-	var large, near []*pb.Heartbeat
-	given := 0.0
+	var large, inZone []*pb.Heartbeat
+	largeTotal := 0.0
 	for _, h := range serving {
-		if h.Cores >= largeHost*most {
+		if h.Cores >= largeHostShare*maxCores {
 			large = append(large, h)
-			given += h.Cores
+			largeTotal += h.Cores
 		}
 	}
-	if given < enoughLarge*all {
+	if largeTotal < minLargeShare*totalCores {
 		large = serving
 	}
 	for _, h := range large {
 		if h.AvailabilityZone == zone {
-			near = append(near, h)
+			inZone = append(inZone, h)
 		}
 	}
-	if len(near) >= leastNear {
-		return near
+	if len(inZone) >= minZoneHosts {
+		return inZone
 	}
 	return large
 }
 
-// maxDirectory is the largest number of addresses that callers take.
+// maxDirectory is the maximum number of addresses that callers accept.
 const maxDirectory = 64
 
-// stop leaves without cutting a request. Other hosts stop naming this one at
-// once; callers that hold an older answer are still served until closeAfter of
-// the grace time; then open requests finish.
+// stop shuts down without cutting requests. Directories of other hosts drop this host at once.
+// Callers with an older answer are served until closeShare of the grace time has passed; then
+// open requests finish.
 func (n *Node) stop(servers []*server) {
 	began := clock.Now()
 	grace := n.settings.Stop.Grace.AsDuration()
-	statemachine.Fire(n.machine, eventTerm)
+	statemachine.Fire(n.machine, eventStop)
 	n.setState()
-	n.beatNow()
+	n.requestHeartbeatToAll()
 	n.log.WithField("open", n.entry.Open()).Info("stopping: callers are sent elsewhere")
-	time.Sleep(part(grace, closeAfter))
+	time.Sleep(fraction(grace, closeShare))
 	statemachine.Fire(n.machine, eventClose)
-	for n.entry.Open() > 0 && clock.Since(began) < part(grace, endAfter) {
-		time.Sleep(stopPoll)
+	for n.entry.Open() > 0 && clock.Since(began) < fraction(grace, drainShare) {
+		time.Sleep(stopPollInterval)
 	}
-	// A request that is no longer open may still have the end of its answer on the way.
+	// The end of an answer may still be in transit after its request is no longer open.
 	for _, s := range servers {
-		s.close(max(part(grace, endAfter)-clock.Since(began), part(grace, shutdownTime)))
+		s.close(max(fraction(grace, drainShare)-clock.Since(began), fraction(grace, shutdownShare)))
 	}
 	n.log.WithFields(logrus.Fields{"open": n.entry.Open(), "ms": clock.Since(began).Milliseconds()}).Info("stopped")
 }
 
 const (
-	// closeAfter of the grace time new requests are refused: callers had three
-	// times an answer's lifetime to go elsewhere.
-	closeAfter = 0.42
-	// endAfter of the grace time open requests are given up, and answers on their way.
-	endAfter = 0.9
-	// shutdownTime of the grace time is left for connections to close after that.
-	shutdownTime = 0.02
-	stopPoll     = 20 * time.Millisecond
+	// closeShare is the share of the grace time after which new requests are rejected. By then
+	// callers have had three times a directory answer's lifetime to switch hosts.
+	closeShare = 0.42
+	// drainShare is the share of the grace time after which open requests and answers in transit
+	// are abandoned.
+	drainShare = 0.9
+	// shutdownShare is the share of the grace time that is then left for closing connections.
+	shutdownShare    = 0.02
+	stopPollInterval = 20 * time.Millisecond
 )
 
-func part(d time.Duration, share float64) time.Duration {
+func fraction(d time.Duration, share float64) time.Duration {
 	return time.Duration(float64(d) * share)
 }
 
-// Reload takes the settings that may change while the host runs.
+// Reload applies the settings that may change while the host runs.
 func (n *Node) Reload(s *pb.Settings) error {
 	level, err := logrus.ParseLevel(s.Log.Level)
 	if err != nil {
 		return errors.Wrap(err, "log level")
 	}
 	n.log.SetLevel(level)
-	n.learnSeeds(s.Member.Seeds)
+	n.addSeeds(s.Member.Seeds)
 	n.log.Info("settings reloaded")
 	return nil
 }
 
-// learnSeeds takes the IP addresses of hosts to try.
-func (n *Node) learnSeeds(ips []string) {
+// addSeeds adds the IP addresses of seed hosts to the membership table.
+func (n *Node) addSeeds(ips []string) {
 	now := clock.Now()
 	for _, ip := range ips {
-		n.members.Learn(n.peerAt(ip), now)
+		n.members.Learn(n.peerAddress(ip), now)
 	}
 }
 
-// peerAt returns the peer address of a host: ports are the same on all hosts.
-func (n *Node) peerAt(ip string) string {
+// peerAddress returns the peer address of the host with an IP address. All hosts use the same
+// port.
+func (n *Node) peerAddress(ip string) string {
 	return addr.OnHost(ip, n.settings.Listen.Peer)
 }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -29,9 +29,8 @@
 	"github.com/briarlink/briarlink/test/standin/wire"
 )
 
-// limit bounds each wait of these tests, which are over as soon as what they
-// wait for has happened.
-const limit = 20 * time.Second
+// waitLimit is the timeout of each wait. Tests continue as soon as the condition holds.
+const waitLimit = 20 * time.Second
 
 // site is a store, backend servers and entry hosts in one process.
 type site struct {
@@ -40,15 +39,15 @@
 	address string
 	engines []*engine.Engine
 	jobs    *engine.Engine
-	// ports keeps hosts' ports for heartbeats until all hosts have stopped: what those
-	// that run still send to one that has stopped must reach no other test's host.
+	// ports keeps the hosts' heartbeat ports reserved until all hosts have stopped, so that
+	// heartbeats to a stopped host do not reach a host of another test.
 	ports []*os.File
 }
 
 func newSite(t *testing.T) *site {
 	t.Helper()
 	s := &site{t: t, store: store.New()}
-	// Runs after the cleanups of the hosts, which come later.
+	// This runs after the cleanups of the hosts, which are registered later.
 	t.Cleanup(func() {
 		for _, p := range s.ports {
 			p.Close()
@@ -84,7 +83,7 @@
 	return e
 }
 
-// configure writes the demonstration's configuration under a version.
+// configure writes the demonstration's configuration with the given version.
 func (s *site) configure(version int, change ...string) {
 	s.t.Helper()
 	data, err := os.ReadFile("../../test/demo/config.json")
@@ -104,9 +103,8 @@
 	done     chan struct{}
 }
 
-// openAnywhere opens a host's sockets at ports that the system chooses, and returns
-// them with their addresses. A port that is free
-// for TCP may be taken for heartbeats; then it asks for others.
+// openAnywhere opens a host's sockets at ports chosen by the system, and returns them with their
+// addresses. It tries again if a free TCP port is in use for UDP.
 func openAnywhere(t *testing.T) (*Listeners, *pb.ListenSettings) {
 	t.Helper()
 	const anyPort = "127.0.0.1:0"
@@ -139,10 +137,10 @@
 	set.Stop.Grace = durationpb.New(time.Second)
 	log, lines := obs.NewLogger(set.Log, io.Discard)
 	n := New(set, nil, log, lines)
-	// The product's own limit is short enough for a busy machine to pass it twice in a row;
-	// what it does then is tested in virtual time, in package dispatch.
+	// A busy machine can exceed the production dial timeout twice in a row. Package dispatch
+	// tests the effects of that in virtual time.
 	n.pool.Dial = func(ctx context.Context, address string) (net.Conn, error) {
-		return netdial.New(limit).DialContext(ctx, "tcp4", address)
+		return netdial.New(waitLimit).DialContext(ctx, "tcp4", address)
 	}
 	for _, p := range peers {
 		n.members.Learn(p.settings.Listen.Peer, time.Now())
@@ -167,11 +165,11 @@
 	return &caller.Caller{Directories: []string{h.settings.Listen.Directory}, HostName: "museum.example", Zone: "z1", Key: "key-of-museum-a"}
 }
 
-func eventually(t *testing.T, what string, f func() bool) {
+func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(limit); !f(); time.Sleep(5 * time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatalf("%s did not come about", what)
+	for deadline := time.Now().Add(waitLimit); !condition(); time.Sleep(5 * time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatalf("timed out waiting for: %s", what)
 		}
 	}
 }
@@ -186,22 +184,22 @@
 	return answer
 }
 
-// TestReadyHostsAreNamed by their own directory: a caller may come as soon as a host
-// says that it is ready.
-func TestReadyHostsAreNamed(t *testing.T) {
+// TestReadyHostIsInItsDirectory checks that a host is ready only once its own directory lists
+// it, as callers may come at once.
+func TestReadyHostIsInItsDirectory(t *testing.T) {
 	set := settings.Defaults()
 	set.Host.Id, set.Host.AvailabilityZone = "a", "z1"
 	set.Listen = &pb.ListenSettings{Caller: "127.0.0.1:1", Peer: "127.0.0.1:2"}
 	log, lines := obs.NewLogger(set.Log, io.Discard)
 	defer lines.Close()
 	n := New(set, nil, log, lines)
-	statemachine.Fire(n.machine, eventKnow)
+	statemachine.Fire(n.machine, eventSynced)
 	if names := n.directory("z1"); n.ready() || len(names) > 0 {
-		t.Errorf("before its directory is told: ready %v, named %v", n.ready(), names)
+		t.Errorf("before the directory is updated: ready %v, listed %v", n.ready(), names)
 	}
 	n.setState()
 	if names := n.directory("z1"); !n.ready() || len(names) != 1 {
-		t.Errorf("once its directory is told: ready %v, named %v", n.ready(), names)
+		t.Errorf("after the directory is updated: ready %v, listed %v", n.ready(), names)
 	}
 }
 
@@ -236,9 +234,9 @@
 	}
 }
 
-// TestFailuresOnTheWayAreHidden where a request may be repeated, and told truly
-// where not.
-func TestFailuresOnTheWayAreHidden(t *testing.T) {
+// TestFailuresAreRetriedOrReported checks that failures are hidden where a request may be
+// retried, and reported correctly where not.
+func TestFailuresAreRetriedOrReported(t *testing.T) {
 	s := newSite(t)
 	s.configure(1)
 	h := s.host("a", s.address)
@@ -263,23 +261,23 @@
 	}
 }
 
-// TestConfigurationReachesHostsWithoutTheStore: the store cursors one host away and
-// serves the other.
+// TestConfigurationReachesHostsWithoutTheStore checks that a host which the store rejects gets
+// the configuration from another host.
 func TestConfigurationReachesHostsWithoutTheStore(t *testing.T) {
 	s := newSite(t)
 	s.configure(1)
-	var away sync.Map
-	gate := serve(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if _, shut := away.Load("shut"); shut {
+	var blocked sync.Map
+	storeProxy := serve(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		if _, isBlocked := blocked.Load("shut"); isBlocked {
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
 		s.store.Handler().ServeHTTP(w, r)
 	}))
 	a := s.host("a", s.address)
-	b := s.host("b", gate, a)
+	b := s.host("b", storeProxy, a)
 	eventually(t, "readiness of both", func() bool { return a.ready() && b.ready() })
-	away.Store("shut", true)
+	blocked.Store("shut", true)
 	eventually(t, "the outage at b", func() bool { return !b.node.access.Stable(time.Now()) })
 	s.configure(5, "key-of-museum-a", "new-key")
 	eventually(t, "the configuration at b", func() bool { return b.node.config.Load().Version == 5 })
@@ -295,14 +293,14 @@
 		}
 		return false
 	})
-	// A host that starts while the store cursors it away learns from the others.
-	c := s.host("c", gate, a)
+	// A host that starts while the store rejects it gets the records from other hosts.
+	c := s.host("c", storeProxy, a)
 	eventually(t, "readiness of c", c.ready)
 }
 
-// TestStopCutsNothing: an open stream ends whole, and other hosts stop naming the
-// host at once.
-func TestStopCutsNothing(t *testing.T) {
+// TestStopFinishesOpenRequests checks that an open stream completes while the host stops, and
+// that other hosts' directories drop the host at once.
+func TestStopFinishesOpenRequests(t *testing.T) {
 	s := newSite(t)
 	for _, e := range s.engines {
 		e.Pace = 40 * time.Millisecond
@@ -326,7 +324,7 @@
 		t.Fatal(err)
 	}
 	a.stop()
-	eventually(t, "the host's leaving", func() bool {
+	eventually(t, "the host's removal from the directory", func() bool {
 		names := b.node.directory("z1")
 		return len(names) == 1 && names[0] == b.settings.Listen.Caller
 	})
@@ -346,7 +344,7 @@
 	eventually(t, "readiness", func() bool { return a.ready() && b.ready() })
 	s.store.Put(platform.OperatorTopic, "version/m", []byte(`{"Model":"m","Version":2}`))
 	eventually(t, "the weights", func() bool { return s.engines[0].Version() == 2 && s.engines[1].Version() == 2 })
-	eventually(t, "word of them", func() bool {
+	eventually(t, "reports of the new weights", func() bool {
 		for _, r := range b.node.replicas.Snapshot("writer", "m", 1000, time.Now()) {
 			if r.Weights != 2 || r.Loading {
 				return false
--- a/internal/node/order_test.go
+++ b/internal/node/order_test.go
@@ -11,17 +11,17 @@
 	"github.com/briarlink/briarlink/platform"
 )
 
-// onLine calls a function at the first line with a message.
-type onLine struct {
+// onFirstMatch calls a function at the first log line with a message.
+type onFirstMatch struct {
 	message string
 	call    func()
 }
 
 // Levels implements logrus.Hook.
-func (o *onLine) Levels() []logrus.Level { return logrus.AllLevels }
+func (o *onFirstMatch) Levels() []logrus.Level { return logrus.AllLevels }
 
 // Fire implements logrus.Hook.
-func (o *onLine) Fire(e *logrus.Entry) error {
+func (o *onFirstMatch) Fire(e *logrus.Entry) error {
 	if call := o.call; call != nil && e.Message == o.message {
 		o.call = nil
 		call()
@@ -29,24 +29,24 @@
 	return nil
 }
 
-// onEach calls a function at each line with a message.
-type onEach struct {
+// onEveryMatch calls a function at each log line with a message.
+type onEveryMatch struct {
 	message string
 	call    func(*logrus.Entry)
 }
 
 // Levels implements logrus.Hook.
-func (o *onEach) Levels() []logrus.Level { return logrus.AllLevels }
+func (o *onEveryMatch) Levels() []logrus.Level { return logrus.AllLevels }
 
 // Fire implements logrus.Hook.
-func (o *onEach) Fire(e *logrus.Entry) error {
+func (o *onEveryMatch) Fire(e *logrus.Entry) error {
 	if e.Message == o.message {
 		o.call(e)
 	}
 	return nil
 }
 
-// registered is a record of a backend server's entry.
+// registered returns a record of a backend server's entry.
 func registered(id string, offset int64) platform.Record {
 	return platform.Record{
 		Key: id, Offset: offset,
@@ -54,68 +54,71 @@
 	}
 }
 
-// told returns a host whose line with a message is where another merge begins.
-func told(t *testing.T, message string, meanwhile func(*Node)) *Node {
+// nodeWithHook returns a host that calls meanwhile when it logs a message. Tests start a
+// concurrent merge there.
+func nodeWithHook(t *testing.T, message string, meanwhile func(*Node)) *Node {
 	t.Helper()
-	n := idle(t, "host")
+	n := newIdleNode(t, "host")
 	metrics, _, closer := obs.NewMetrics()
 	t.Cleanup(func() { _ = closer.Close() })
 	n.metrics = metrics
-	n.log.AddHook(&onLine{message, func() { meanwhile(n) }})
+	n.log.AddHook(&onFirstMatch{message, func() { meanwhile(n) }})
 	return n
 }
 
-const lineOfAMalformedEntry = "backend server's entry not taken"
+const malformedEntryMessage = "backend server's entry not taken"
 
-// TestRemovedServerDoesNotComeBack: while a host took the entries of many servers from
-// one source, the other told it that one of them was removed. The removal was told first
-// and found nothing to remove; the entry came after it, and the server was used until its
-// address answered no more, as no later record speaks of it.
+// TestRemovedServerDoesNotComeBack guards against updates delivered out of order. While a host
+// applied many entries from one source, another source reported that one of these servers was
+// removed. The removal was delivered first and removed nothing; the entry followed, and as no
+// later record names the server, it was used until its address stopped answering.
 func TestRemovedServerDoesNotComeBack(t *testing.T) {
-	n := told(t, lineOfAMalformedEntry, func(n *Node) {
+	n := nodeWithHook(t, malformedEntryMessage, func(n *Node) {
 		n.servers.MergeAll([]platform.Record{{Key: "b", Offset: 3, Removed: true}}, 4, true)
 	})
 	malformed := platform.Record{Key: "a", Value: []byte("{}")}
 	n.servers.Snapshot(platform.Page{Records: []platform.Record{malformed, registered("b", 1), registered("c", 2)}, End: 3}, true)
 	if got := n.replicas.Count(); got != 1 {
-		t.Errorf("%d servers are known, want only the one that was not removed", got)
+		t.Errorf("%d servers are registered, want only the one that was not removed", got)
 	}
 }
 
-// TestServerThatRegisteredAgainStays: its removal was told after its newer entry and threw
-// it out, and a live server writes no further record while its entry stays the same.
-func TestServerThatRegisteredAgainStays(t *testing.T) {
-	n := told(t, lineOfAMalformedEntry, func(n *Node) {
+// TestReRegisteredServerStays guards against a server being removed by a removal older than its
+// entry. The removal was delivered after the newer entry, and a live server writes no further
+// record while its entry is unchanged.
+func TestReRegisteredServerStays(t *testing.T) {
+	n := nodeWithHook(t, malformedEntryMessage, func(n *Node) {
 		n.servers.MergeAll([]platform.Record{registered("b", 3)}, 4, true)
 	})
 	n.servers.Snapshot(platform.Page{Records: []platform.Record{registered("b", 0)}, End: 1}, true)
 	malformed := platform.Record{Key: "a", Offset: 1, Value: []byte("{}")}
 	n.servers.Merge([]platform.Record{malformed, {Key: "b", Offset: 2, Removed: true}}, 3, true)
 	if got := n.replicas.Count(); got != 1 {
-		t.Errorf("%d servers are known, want the one that registered again", got)
+		t.Errorf("%d servers are registered, want the one that registered again", got)
 	}
 }
 
-// TestOvertakenWeightsAreNotLost: a version that a starting host finds may have been named
-// at any time. Where the next one was named while it was being told, it came after that, was
-// taken for old, and a replica that had missed both counted as behind only since the next one
-// was named: it was given requests up to the whole deadline.
-func TestOvertakenWeightsAreNotLost(t *testing.T) {
+// TestSupersededWeightsAreRecorded guards against a lost weights version. A version that a
+// starting host finds may have been named at any time. If the next version was named while the
+// first was being delivered, the first arrived second and was ignored as old. A replica that had
+// missed both counted as outdated only since the later naming, and got requests for the whole
+// weights deadline.
+func TestSupersededWeightsAreRecorded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n := told(t, "wanted weights not taken", func(n *Node) {
+		n := nodeWithHook(t, "wanted weights not taken", func(n *Node) {
 			n.operators.Merge([]platform.Record{{Key: "version/m", Offset: 2, Value: []byte(`{"Model":"m","Version":3}`)}}, 3, true)
 		})
-		n.holding("missed", 1)
-		n.holding("loaded", 2)
+		n.registerReplica("missed", 1)
+		n.registerReplica("loaded", 2)
 		n.operators.Snapshot(platform.Page{Records: []platform.Record{
 			{Key: "version/other", Value: []byte("?")},
 			{Key: "version/m", Offset: 1, Value: []byte(`{"Model":"m","Version":2}`)},
 		}, End: 2}, true)
-		if got, deadline := n.behind("missed"), route.DefaultPolicy().WeightsDeadline; got < deadline {
-			t.Errorf("behind for %v on weights that were overtaken before this host started, want %v or more", got, deadline)
+		if got, deadline := n.outdatedFor("missed"), route.DefaultPolicy().WeightsDeadline; got < deadline {
+			t.Errorf("outdated for %v with weights superseded before this host started, want %v or more", got, deadline)
 		}
-		if got := n.behind("loaded"); got != 0 {
-			t.Errorf("behind for %v on weights that were overtaken this moment", got)
+		if got := n.outdatedFor("loaded"); got != 0 {
+			t.Errorf("outdated for %v with weights superseded just now", got)
 		}
 	})
 }
--- a/internal/node/records.go
+++ b/internal/node/records.go
@@ -19,48 +19,49 @@
 )
 
 const (
-	// fetchTimeout bounds a fetch of records from another host, and fetchAllTimeout one of
-	// a whole topic.
+	// fetchTimeout is the timeout of a fetch of records from another host, and fetchAllTimeout
+	// that of a fetch of a whole topic.
 	fetchTimeout    = 800 * time.Millisecond
 	fetchAllTimeout = 3 * time.Second
-	// fetchElsewhere is how long a fetch may take until another host is asked too: it may
-	// be about to stop.
-	fetchElsewhere = 250 * time.Millisecond
-	// refusedPause is the mean time until a host that did not serve a fetch is asked again.
-	refusedPause = 400 * time.Millisecond
-	// maxServed is the number of fetches that a host serves at once. When a fleet
-	// starts, the first host that knows the records would else be asked by all; those
-	// turned away ask the next that tells them.
-	maxServed = 8
-	// maxPacked is the number of deflated answers that are kept for the next host that asks
-	// the same.
-	maxPacked = 4
+	// secondFetchDelay is how long a fetch runs before a second host may be asked too, as the
+	// first one may be stopping.
+	secondFetchDelay = 250 * time.Millisecond
+	// refusedBackoff is the mean delay before a host that did not serve a fetch is asked again.
+	refusedBackoff = 400 * time.Millisecond
+	// maxServedFetches is the maximum number of fetches that a host serves at once. Otherwise
+	// all hosts of a starting fleet would fetch from the first one that has the records;
+	// rejected ones ask the next host that offers them.
+	maxServedFetches = 8
+	// maxCachedResponses is the maximum number of compressed answers cached for hosts that ask
+	// for the same records.
+	maxCachedResponses = 4
 )
 
-// fetches are the fetches of one topic from other hosts. It is safe for concurrent use; mu
-// is its only lock.
+// fetches tracks the fetches of one topic from other hosts. It is safe for concurrent use; mu is
+// its only lock.
 type fetches struct {
-	lines fetchLines
+	logLimiters fetchLogLimiters
 
 	mu sync.Mutex
-	// running is the number of fetches under way, the last since began.
+	// running is the number of fetches in progress, of which the last one started at began.
 	running int
 	began   time.Time
-	// refused holds until when hosts are not asked again.
-	refused map[string]time.Time
+	// retryAfter maps hosts that did not serve a fetch to the time from which they may be asked
+	// again.
+	retryAfter map[string]time.Time
 }
 
-// begin reports whether to fetch from a host now, and counts the fetch if so. The whole topic
-// is fetched from one host at a time.
-func (f *fetches) begin(host string, whole bool, now time.Time) bool {
+// begin reports whether to fetch from a host now, and counts the fetch if so. A whole topic is
+// fetched from only one host at a time.
+func (f *fetches) begin(host string, wholeTopic bool, now time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if now.Before(f.refused[host]) {
+	if now.Before(f.retryAfter[host]) {
 		return false
 	}
 	switch {
 	case f.running == 0:
-	case f.running == 1 && !whole && now.Sub(f.began) >= fetchElsewhere:
+	case f.running == 1 && !wholeTopic && now.Sub(f.began) >= secondFetchDelay:
 	default:
 		return false
 	}
@@ -69,35 +70,35 @@
 	return true
 }
 
-// end takes the end of a fetch.
+// end records the end of a fetch.
 func (f *fetches) end(host string, ok bool, now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.running--
-	for other, until := range f.refused {
+	for other, until := range f.retryAfter {
 		if !now.Before(until) {
-			delete(f.refused, other)
+			delete(f.retryAfter, other)
 		}
 	}
 	if !ok {
-		f.refused[host] = now.Add(refusedPause/2 + rand.N(refusedPause))
+		f.retryAfter[host] = now.Add(refusedBackoff/2 + rand.N(refusedBackoff))
 	}
 }
 
-// catchUp fetches records that another host has applied and this one lacks.
+// catchUp fetches the records that another host has applied and this host has not.
 func (n *Node) catchUp(b *pb.Heartbeat) {
-	for _, t := range n.shared() {
-		whole := !t.Synced()
+	for _, t := range n.sharedTopics() {
+		wholeTopic := !t.Synced()
 		at := position(b, t.Name())
-		if at <= t.End() && !(whole && at != unknownPosition) {
+		if at <= t.End() && !(wholeTopic && at != unknownPosition) {
 			continue
 		}
 		now := clock.Now()
-		if whole {
+		if wholeTopic {
 			n.recordsOffered.Note(now)
 		}
 		f := n.fetches[t.Name()]
-		if !f.begin(b.Host, whole, now) {
+		if !f.begin(b.Host, wholeTopic, now) {
 			continue
 		}
 		go func() {
@@ -107,7 +108,7 @@
 	}
 }
 
-// fetch takes from another host the records that this one lacks.
+// fetch fetches this host's missing records from another host.
 func (n *Node) fetch(t *topic.Table, host, address string) error {
 	from, timeout := t.End(), fetchTimeout
 	if !t.Synced() {
@@ -117,49 +118,49 @@
 	defer cancel()
 	resp, err := n.peers.FetchRecords(ctx, address, &pb.FetchRecordsRequest{Topic: t.Name(), From: from, AvailabilityZone: n.settings.Host.AvailabilityZone})
 	if err != nil {
-		n.notFetched(t, host, err)
+		n.logFetchFailure(t, host, err)
 		return err
 	}
 	sent, err := peer.Unpack(resp)
 	if err != nil {
-		n.notFetched(t, host, err)
+		n.logFetchFailure(t, host, err)
 		return err
 	}
 	records := make([]platform.Record, 0, len(sent))
 	for _, r := range sent {
 		records = append(records, platform.Record{Key: r.Key, Value: r.Value, Offset: r.Offset, Removed: r.Removed})
 	}
-	taken := t.MergeAll(records, resp.End, resp.Trusted)
-	n.becomeReady()
-	if taken > 0 {
-		n.fetched(t, host, taken, resp.End)
+	applied := t.MergeAll(records, resp.End, resp.Trusted)
+	n.markReady()
+	if applied > 0 {
+		n.logFetched(t, host, applied, resp.End)
 	}
 	return nil
 }
 
-// fetchLines bounds the lines on fetches of a topic: while the store is lost, each
-// heartbeat of a host that knows more leads to a fetch.
-type fetchLines struct{ taken, failed obs.Limiter }
+// fetchLogLimiters rate-limit the log lines about fetches of a topic. While the store is lost,
+// every heartbeat of a host with more records leads to a fetch.
+type fetchLogLimiters struct{ applied, failed obs.Limiter }
 
-// fetched logs records that another host had.
-func (n *Node) fetched(t *topic.Table, host string, taken int, end int64) {
-	others, ok := n.fetches[t.Name()].lines.taken.Allow(clock.Now())
+// logFetched logs that records of another host were applied.
+func (n *Node) logFetched(t *topic.Table, host string, applied int, end int64) {
+	others, ok := n.fetches[t.Name()].logLimiters.applied.Allow(clock.Now())
 	if !ok {
 		return
 	}
 	n.log.WithFields(logrus.Fields{
-		"host": host, "topic": t.Name(), "records": taken, "end": end, "others": others,
+		"host": host, "topic": t.Name(), "records": applied, "end": end, "others": others,
 	}).Info("records taken from another host")
 }
 
-// notFetched logs that another host did not give its records.
-func (n *Node) notFetched(t *topic.Table, host string, err error) {
-	if others, ok := n.fetches[t.Name()].lines.failed.Allow(clock.Now()); ok {
+// logFetchFailure logs that a fetch from another host failed.
+func (n *Node) logFetchFailure(t *topic.Table, host string, err error) {
+	if others, ok := n.fetches[t.Name()].logLimiters.failed.Allow(clock.Now()); ok {
 		n.log.WithError(err).WithFields(logrus.Fields{"host": host, "topic": t.Name(), "others": others}).Info("records not fetched from another host")
 	}
 }
 
-// peerService answers other hosts.
+// peerService answers calls of other hosts.
 type peerService struct {
 	n *Node
 }
@@ -169,17 +170,17 @@
 	errBusy    = errors.New("this host serves as many others as it can")
 )
 
-// FetchRecords implements the peer service.
+// FetchRecords implements the PeerService RPC.
 func (p *peerService) FetchRecords(_ context.Context, in *pb.FetchRecordsRequest) (*pb.FetchRecordsResponse, error) {
-	if !p.n.serving.TryAcquire(1) {
+	if !p.n.fetchSlots.TryAcquire(1) {
 		return nil, errBusy
 	}
-	defer p.n.serving.Release(1)
-	for _, t := range p.n.shared() {
+	defer p.n.fetchSlots.Release(1)
+	for _, t := range p.n.sharedTopics() {
 		if t.Name() != in.Topic || !t.Synced() {
 			continue
 		}
-		out, err := p.n.packed.answer(t, in.From)
+		out, err := p.n.responses.response(t, in.From)
 		if err != nil {
 			return nil, err
 		}
@@ -194,33 +195,33 @@
 	return nil, errNoTopic
 }
 
-// maySend reports whether an answer may be sent now. Whole topics are for hosts that start,
-// which can ask others; what a host lacks that has been told of more is sent at once.
+// maySend reports whether an answer may be sent now. Whole topics are requested by starting
+// hosts, which can ask another host instead; missing records of a running host are always sent.
 func (n *Node) maySend(in *pb.FetchRecordsRequest, bytes int) bool {
 	if in.From == 0 {
-		return n.bulkSent.Afford(bytes)
+		return n.bulkSends.Afford(bytes)
 	}
-	n.bulkSent.Spend(bytes)
+	n.bulkSends.Spend(bytes)
 	return true
 }
 
-// span is what is asked of a topic, up to the end that is known.
-type span struct {
+// recordRange identifies an answer: the records of a topic from an offset up to its known end.
+type recordRange struct {
 	topic     string
 	from, end int64
 }
 
-// packed keeps the last deflated answers: many hosts that start, or that lack a
-// configuration, ask the same. It is safe for concurrent use; mu is its only lock.
-type packed struct {
-	mu   sync.Mutex
-	last map[span][]byte
+// responseCache keeps the last compressed answers, as many hosts that start or miss a
+// configuration ask for the same records. It is safe for concurrent use; mu is its only lock.
+type responseCache struct {
+	mu       sync.Mutex
+	deflated map[recordRange][]byte
 }
 
-// answer returns the records of a topic from an offset on.
-func (p *packed) answer(t *topic.Table, from int64) (*pb.FetchRecordsResponse, error) {
+// response returns the records of a topic from an offset on.
+func (c *responseCache) response(t *topic.Table, from int64) (*pb.FetchRecordsResponse, error) {
 	end := t.End()
-	if data := p.kept(span{t.Name(), from, end}); data != nil {
+	if data := c.get(recordRange{t.Name(), from, end}); data != nil {
 		return &pb.FetchRecordsResponse{End: end, Packed: data}, nil
 	}
 	found, end := t.From(from)
@@ -232,24 +233,24 @@
 	if err := peer.Pack(records, out); err != nil {
 		return nil, err
 	}
-	p.keep(span{t.Name(), from, end}, out.Packed)
+	c.put(recordRange{t.Name(), from, end}, out.Packed)
 	return out, nil
 }
 
-func (p *packed) kept(s span) []byte {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.last[s]
+func (c *responseCache) get(r recordRange) []byte {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.deflated[r]
 }
 
-func (p *packed) keep(s span, data []byte) {
+func (c *responseCache) put(r recordRange, data []byte) {
 	if len(data) == 0 {
 		return
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if len(p.last) >= maxPacked {
-		clear(p.last)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if len(c.deflated) >= maxCachedResponses {
+		clear(c.deflated)
 	}
-	p.last[s] = data
+	c.deflated[r] = data
 }
--- a/internal/node/records_test.go
+++ b/internal/node/records_test.go
@@ -18,23 +18,23 @@
 	"github.com/briarlink/briarlink/platform"
 )
 
-// TestFetchesAreALineASecond: while the store is lost, each heartbeat of a host that knows
-// more makes one that lags fetch from it, 174 a second at 300 hosts. Where the other host
-// cannot be reached either, each fetch ended in a line: half of what the log takes, when
-// it is needed most. Topics are told apart, as entries change more often than the
-// configuration.
-func TestFetchesAreALineASecond(t *testing.T) {
+// TestFetchesAreRateLimitedInTheLog guards against a log filled by fetches. While the store is
+// lost, an outdated host fetches at each heartbeat of a host with more records, 174 times a
+// second with 300 hosts. If these hosts are unreachable too, each fetch logged a failure: half
+// of the log's capacity, when it is needed most. Each topic has its own limit, as entries change
+// more often than the configuration.
+func TestFetchesAreRateLimitedInTheLog(t *testing.T) {
 	const (
-		heard   = 174
-		seconds = 10
+		heartbeatRate = 174
+		seconds       = 10
 	)
 	synctest.Test(t, func(t *testing.T) {
 		var out bytes.Buffer
-		n := idle(t, "a")
+		n := newIdleNode(t, "a")
 		n.log.SetOutput(&out)
-		for range heard * seconds {
+		for range heartbeatRate * seconds {
 			_ = n.fetch(n.servers, "b", "nowhere")
-			time.Sleep(time.Second / heard)
+			time.Sleep(time.Second / heartbeatRate)
 		}
 		_ = n.fetch(n.operators, "b", "nowhere")
 		if got := strings.Count(out.String(), "records not fetched from another host"); got < seconds || got > seconds+1 {
@@ -44,9 +44,9 @@
 			t.Error("the other topic's line is missing")
 		}
 		out.Reset()
-		for i := range heard * seconds {
-			n.fetched(n.servers, "b", 1, int64(i))
-			time.Sleep(time.Second / heard)
+		for i := range heartbeatRate * seconds {
+			n.logFetched(n.servers, "b", 1, int64(i))
+			time.Sleep(time.Second / heartbeatRate)
 		}
 		if got := strings.Count(out.String(), "records taken from another host"); got < seconds-1 || got > seconds {
 			t.Errorf("%d lines of records taken in %d s", got, seconds)
@@ -54,7 +54,7 @@
 	})
 }
 
-// entries returns the entries of so many servers.
+// entries returns entries of n servers.
 func entries(n int) []platform.Record {
 	var records []platform.Record
 	for i := range n {
@@ -65,10 +65,10 @@
 	return records
 }
 
-// TestManyRecordsAreFewBytes: 10,004 entries took 3 MB for each host that starts, a second and
-// more of a small host's link, beyond which fetches were given up, and near what one message
-// may hold.
-func TestManyRecordsAreFewBytes(t *testing.T) {
+// TestRecordsAreCompressed guards against large transfers. 10,004 entries took 3 MB per starting
+// host: a second or more of a small host's link, after which fetches timed out, and near the
+// maximum size of a message.
+func TestRecordsAreCompressed(t *testing.T) {
 	size := func(n int) (plain, sent int) {
 		table := topic.NewTable("entries", func(platform.Record, topic.Origin) {})
 		records := entries(n)
@@ -76,18 +76,18 @@
 			plain += len(r.Key) + len(r.Value)
 		}
 		table.MergeAll(records, int64(n), true)
-		p := packed{last: map[span][]byte{}}
-		answer, err := p.answer(table, 0)
+		p := responseCache{deflated: map[recordRange][]byte{}}
+		answer, err := p.response(table, 0)
 		if err != nil {
 			t.Fatal(err)
 		}
-		again, err := p.answer(table, 0)
+		again, err := p.response(table, 0)
 		if err != nil || &again.Packed[0] != &answer.Packed[0] {
-			t.Error("the same answer is packed twice")
+			t.Error("the same answer is compressed twice")
 		}
 		got, err := peer.Unpack(answer)
 		if err != nil || len(got) != n || string(got[n-1].Value) != string(records[n-1].Value) {
-			t.Fatalf("%d of %d records come out, %v", len(got), n, err)
+			t.Fatalf("got %d of %d records, %v", len(got), n, err)
 		}
 		return plain, proto.Size(answer)
 	}
@@ -100,16 +100,17 @@
 	}
 }
 
-// TestWholeTopicsLeaveRoomOnTheLink: hosts that start all ask those that know. The limit of
-// eight at once counted answers until they were written, not until they were sent: one small
-// host sent 40 others 5 MB, two seconds of its link, and its heartbeats waited behind that.
-func TestWholeTopicsLeaveRoomOnTheLink(t *testing.T) {
+// TestWholeTopicTransfersAreBounded guards against whole topics filling the link when many hosts
+// start. The limit of eight fetches at once counts answers only until they are written, not
+// until they are sent: a small host sent 5 MB to 40 others, two seconds of its link, which
+// delayed its heartbeats.
+func TestWholeTopicTransfersAreBounded(t *testing.T) {
 	const (
-		mbps    = 20
-		longest = 250 * time.Millisecond
+		mbps      = 20
+		maxQueued = 250 * time.Millisecond
 	)
-	n := idle(t, "serves")
-	n.bulkSent = bandwidth.NewBudget(mbps)
+	n := newIdleNode(t, "serves")
+	n.bulkSends = bandwidth.NewBudget(mbps)
 	metrics, _, closer := obs.NewMetrics()
 	defer closer.Close()
 	n.metrics = metrics
@@ -123,29 +124,29 @@
 			served++
 		}
 	}
-	if queued := time.Duration(float64(sent) * 8e3 / mbps); served == 0 || queued > longest {
-		t.Errorf("%d hosts were sent %d bytes, %v of the link; at most %v allowed", served, sent, queued, longest)
+	if queued := time.Duration(float64(sent) * 8e3 / mbps); served == 0 || queued > maxQueued {
+		t.Errorf("%d hosts were sent %d bytes, %v of the link; at most %v allowed", served, sent, queued, maxQueued)
 	}
 	if _, err := p.FetchRecords(t.Context(), &pb.FetchRecordsRequest{Topic: n.servers.Name(), From: 9_990}); err != nil {
-		t.Errorf("a host that lacks ten records waits: %v", err)
+		t.Errorf("a host that misses ten records is rejected: %v", err)
 	}
 }
 
-// TestSlowFetchKeepsNobodyWaiting: a host that stopped held up the fetch of a configuration for
-// 0.8 s, in which other hosts told of it in vain.
-func TestSlowFetchKeepsNobodyWaiting(t *testing.T) {
-	f := &fetches{refused: map[string]time.Time{}}
+// TestSlowFetchAllowsSecondHost guards against one slow host delaying records: a host that was
+// stopping held up the fetch of a configuration for 0.8 s while other hosts offered it.
+func TestSlowFetchAllowsSecondHost(t *testing.T) {
+	f := &fetches{retryAfter: map[string]time.Time{}}
 	now := time.Unix(1000, 0)
-	if !f.begin("stops", false, now) || f.begin("other", false, now.Add(fetchElsewhere/2)) {
-		t.Error("want one fetch at first")
+	if !f.begin("stops", false, now) || f.begin("other", false, now.Add(secondFetchDelay/2)) {
+		t.Error("want exactly one fetch at first")
 	}
-	later := now.Add(fetchElsewhere)
-	if !f.begin("other", false, later) || f.begin("third", false, later.Add(2*fetchElsewhere)) {
-		t.Error("want a second fetch from another host once the first is late, and no third")
+	later := now.Add(secondFetchDelay)
+	if !f.begin("other", false, later) || f.begin("third", false, later.Add(2*secondFetchDelay)) {
+		t.Error("want a second fetch from another host once the first is slow, and no third")
 	}
 	f.end("other", true, later)
 	f.end("stops", false, later)
-	if f.begin("stops", false, later.Add(refusedPause/4)) {
+	if f.begin("stops", false, later.Add(refusedBackoff/4)) {
 		t.Error("a host that did not serve is asked again at once")
 	}
 	if !f.begin("other", true, later) || f.begin("third", true, later.Add(time.Second)) {
@@ -153,46 +154,47 @@
 	}
 }
 
-// TestStartingHostsWaitForEachOther: 985 hosts that start at once read the store each by itself
-// after 1.5 s, 21 calls and 3 MB a host, while the first that knew served eight at a time.
-func TestStartingHostsWaitForEachOther(t *testing.T) {
+// TestStartingHostsWaitForPeersRecords guards against a starting fleet overloading the store.
+// Each of 985 hosts that started at once read the store after 1.5 s, 21 calls and 3 MB per host,
+// while the first host with the records served eight at a time.
+func TestStartingHostsWaitForPeersRecords(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n := idle(t, "starts")
-		n.holdFor = leastHold
+		n := newIdleNode(t, "starts")
+		n.firstReadDelay = minFirstReadDelay
 		time.Sleep(time.Second)
-		if n.holdFirst() {
-			t.Error("waits though nobody tells of records")
+		if n.delaysFirstRead() {
+			t.Error("waits although no host offers records")
 		}
-		knows := &pb.Heartbeat{Host: "knows", PeerAddress: "nowhere", Positions: []*pb.TopicPosition{{Topic: n.servers.Name(), End: 9}}}
+		offer := &pb.Heartbeat{Host: "knows", PeerAddress: "nowhere", Positions: []*pb.TopicPosition{{Topic: n.servers.Name(), End: 9}}}
 		for i := range 40 {
-			knows.Sequence++
-			n.catchUp(knows)
-			time.Sleep(offeredLately / 4)
-			if since := time.Since(n.started); n.holdFirst() != (since < longestHold) {
-				t.Fatalf("heartbeat %d, %v after the start: waits %v", i, since, n.holdFirst())
+			offer.Sequence++
+			n.catchUp(offer)
+			time.Sleep(recentOfferAge / 4)
+			if since := time.Since(n.started); n.delaysFirstRead() != (since < maxFirstReadDelay) {
+				t.Fatalf("heartbeat %d, %v after the start: waits %v", i, since, n.delaysFirstRead())
 			}
 		}
 		n.servers.Snapshot(platform.Page{}, true)
-		if n.holdFirst() {
-			t.Error("waits though it knows")
+		if n.delaysFirstRead() {
+			t.Error("waits although it is synced")
 		}
 	})
 }
 
-// TestEmptyTopicsAreToldOf: before operators write anything, each of 985 hosts asked the store
-// for their records, as what others knew of an empty topic looked like nothing.
-func TestEmptyTopicsAreToldOf(t *testing.T) {
+// TestEmptyTopicsAreOffered guards against an empty topic looking like one that is not synced:
+// before operators wrote anything, each of 985 hosts read their records from the store.
+func TestEmptyTopicsAreOffered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		knows, starts := idle(t, "knows"), idle(t, "starts")
-		tells := knows.work()
-		starts.catchUp(tells)
-		if starts.recordsOffered.Age(time.Now()) != topic.NeverFresh {
-			t.Error("waits for a host that knows nothing")
-		}
-		knows.operators.Snapshot(platform.Page{}, true)
-		starts.catchUp(knows.work())
-		if starts.recordsOffered.Age(time.Now()) == topic.NeverFresh {
-			t.Error("does not ask a host that knows the empty topic")
+		synced, starting := newIdleNode(t, "knows"), newIdleNode(t, "starts")
+		unsynced := synced.fullHeartbeat()
+		starting.catchUp(unsynced)
+		if starting.recordsOffered.Age(time.Now()) != topic.NeverFresh {
+			t.Error("waits for a host that is not synced")
+		}
+		synced.operators.Snapshot(platform.Page{}, true)
+		starting.catchUp(synced.fullHeartbeat())
+		if starting.recordsOffered.Age(time.Now()) == topic.NeverFresh {
+			t.Error("does not ask a host that has synced the empty topic")
 		}
 	})
 }
--- a/internal/node/refusals_test.go
+++ b/internal/node/refusals_test.go
@@ -21,70 +21,72 @@
 	"github.com/briarlink/briarlink/platform"
 )
 
-var wholeFleets = flag.Bool("whole-fleets", false, "play restarts of fleets of up to 1,000 hosts: some minutes")
+var wholeFleets = flag.Bool("whole-fleets", false, "simulate restarts of fleets of up to 1,000 hosts, which takes some minutes")
 
 const (
-	// fleetStep is the resolution of the simulated fleets.
+	// fleetStep is the time step of the simulation.
 	fleetStep = 10 * time.Millisecond
-	// startTime is how long a host takes to start, and addressesAfter when it has read the
+	// startTime is how long a host takes to start, and addressReadTime when it has read the
 	// other hosts' addresses.
-	startTime      = 300 * time.Millisecond
-	addressesAfter = 1500 * time.Millisecond
-	// largeCores and smallCores are what hosts of the two sizes give.
+	startTime       = 300 * time.Millisecond
+	addressReadTime = 1500 * time.Millisecond
+	// largeCores and smallCores are the cores of the two sizes of hosts.
 	largeCores, smallCores = 0.8, 0.192
 	fleetZones             = 4
-	// answerTTL is how long callers keep a directory's answer.
+	// answerTTL is how long callers use a directory's answer.
 	answerTTL = time.Second
-	// calmDemand is what the organisations ask for, as a share of their limits.
-	calmDemand = 0.55
-	// restAfter is how long after the last restart nothing may be refused any more: a fleet
-	// that lost power knows of its hosts by then.
-	restAfter = 5 * time.Second
-	// refusedAtRest is the largest share of what is owed that may be refused at rest.
-	refusedAtRest = 0.001
+	// belowLimitShare is the organisations' demand as a share of their limits.
+	belowLimitShare = 0.55
+	// settleTime is the time after the last restart from which nothing may be rejected. A fleet
+	// that lost power has discovered its hosts by then.
+	settleTime = 5 * time.Second
+	// maxRefusedShare is the maximum share of the entitled tokens that may be rejected after
+	// settleTime.
+	maxRefusedShare = 0.001
 )
 
 // limitHost is a host of a simulated fleet.
 type limitHost struct {
-	n     *Node
-	large bool
-	next  time.Time
-	tick  int
-	// up is when the host takes requests; read is whether it has read the addresses.
-	up   time.Time
-	read bool
+	n             *Node
+	large         bool
+	nextHeartbeat time.Time
+	tick          int
+	// readyAt is when the host accepts requests, and addressesRead whether it has read the other
+	// hosts' addresses.
+	readyAt       time.Time
+	addressesRead bool
 }
 
-// limitOrganisation is an organisation that keeps to its limit.
+// limitOrganisation is an organisation that stays below its limit.
 type limitOrganisation struct {
 	name  string
 	limit config.RateLimit
-	// ideal is the level of a bucket that knows everything at once.
-	ideal   float64
-	callers [16]limitCaller
+	// idealLevel is the level of a bucket that receives all usage without delay.
+	idealLevel float64
+	callers    [16]limitCaller
 }
 
-// limitCaller is a caller: it stays with a host while the directory names it.
+// limitCaller is a caller. It keeps its host while the directory lists it.
 type limitCaller struct {
 	host *limitHost
-	// asked is when it last asked a directory.
-	asked time.Time
+	// resolved is when it last queried a directory.
+	resolved time.Time
 }
 
-// limitFleet is a fleet of hosts whose heartbeats are function calls, one in a hundred lost.
+// limitFleet is a fleet whose heartbeats are function calls, one in a hundred of which is lost.
 type limitFleet struct {
 	t             *testing.T
 	rng           *rand.Rand
 	hosts         []*limitHost
-	at            map[string]*limitHost
+	byAddress     map[string]*limitHost
 	addresses     []platform.Record
 	organisations []*limitOrganisation
-	// owed and refused count tokens since they were last taken.
-	owed, refused float64
+	// entitled and refused count tokens since the start of the current run.
+	entitled, refused float64
 }
 
 func newLimitFleet(t *testing.T, large, small int) *limitFleet {
-	f := &limitFleet{t: t, rng: rand.New(rand.NewPCG(1, uint64(large+small))), at: map[string]*limitHost{}}
+	f := &limitFleet{t: t, rng: rand.New(rand.NewPCG(1, uint64(large+small))), byAddress: map[string]*limitHost{}}
 	for i := range 8 {
 		rate := 400_000 / float64(i+1)
 		f.organisations = append(f.organisations, &limitOrganisation{
@@ -95,7 +97,7 @@
 		h := &limitHost{large: i < large}
 		f.hosts = append(f.hosts, h)
 		id := fmt.Sprint("host-", i)
-		f.at[id+":5"], f.at[id+":1"] = h, h
+		f.byAddress[id+":5"], f.byAddress[id+":1"] = h, h
 		f.addresses = append(f.addresses, platform.Record{Key: id, Offset: int64(i), Value: platform.HostRecord{PeerAddress: id + ":5"}.Encode()})
 	}
 	for i := range f.hosts {
@@ -104,9 +106,9 @@
 	return f
 }
 
-// start begins a host anew after a while; it knows the first three.
+// start restarts a host after a downtime. It knows the first three hosts.
 func (f *limitFleet) start(i int, down time.Duration) {
-	n := idle(f.t, fmt.Sprint("host-", i))
+	n := newIdleNode(f.t, fmt.Sprint("host-", i))
 	h := f.hosts[i]
 	n.settings.Host.AvailabilityZone = fmt.Sprint("zone-", i%fleetZones)
 	n.settings.Host.Cores = smallCores
@@ -124,12 +126,12 @@
 	for seed := range min(3, len(f.hosts)) {
 		n.members.Learn(fmt.Sprint("host-", seed, ":5"), n.started)
 	}
-	h.n, h.read, h.tick = n, false, f.rng.IntN(100)
-	h.up = n.started.Add(startTime)
-	h.next = n.started.Add(time.Duration(f.rng.Int64N(int64(n.settings.Member.HeartbeatInterval.AsDuration()))))
+	h.n, h.addressesRead, h.tick = n, false, f.rng.IntN(100)
+	h.readyAt = n.started.Add(startTime)
+	h.nextHeartbeat = n.started.Add(time.Duration(f.rng.Int64N(int64(n.settings.Member.HeartbeatInterval.AsDuration()))))
 }
 
-// restart restarts some of the hosts, down for half a second each.
+// restart restarts the selected hosts, with half a second of downtime each.
 func (f *limitFleet) restart(which func(*limitFleet, *limitHost) bool) {
 	for i, h := range f.hosts {
 		if which(f, h) {
@@ -138,55 +140,55 @@
 	}
 }
 
-// run plays so much time and returns the share of what was owed that was refused.
-func (f *limitFleet) run(d time.Duration, demand float64) float64 {
-	f.owed, f.refused = 0, 0
+// run simulates a period and returns the share of the entitled tokens that was rejected.
+func (f *limitFleet) run(d time.Duration, demandShare float64) float64 {
+	f.entitled, f.refused = 0, 0
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(fleetStep) {
 		now := clock.Now()
 		for _, h := range f.hosts {
-			f.beat(h, now)
+			f.heartbeat(h, now)
 		}
 		for _, o := range f.organisations {
-			f.requests(o, demand, now)
+			f.requests(o, demandShare, now)
 		}
 	}
-	return f.refused / max(1, f.owed)
+	return f.refused / max(1, f.entitled)
 }
 
-// beat does what a host does at a heartbeat, where one is due.
-func (f *limitFleet) beat(h *limitHost, now time.Time) {
+// heartbeat runs a host's heartbeat loop once if a heartbeat is due.
+func (f *limitFleet) heartbeat(h *limitHost, now time.Time) {
 	n := h.n
-	if now.Before(n.started) || now.Before(h.next) {
+	if now.Before(n.started) || now.Before(h.nextHeartbeat) {
 		return
 	}
-	h.next = now.Add(n.settings.Member.HeartbeatInterval.AsDuration())
-	if !n.machine.Is(StateReady) && !now.Before(h.up) {
-		statemachine.Fire(n.machine, eventKnow)
+	h.nextHeartbeat = now.Add(n.settings.Member.HeartbeatInterval.AsDuration())
+	if !n.machine.Is(StateReady) && !now.Before(h.readyAt) {
+		statemachine.Fire(n.machine, eventSynced)
 		n.setState()
 	}
-	if !h.read && now.Sub(n.started) >= addressesAfter && !n.members.Relayed(now) {
-		h.read = true
+	if !h.addressesRead && now.Sub(n.started) >= addressReadTime && !n.members.Relayed(now) {
+		h.addressesRead = true
 		n.hosts.Snapshot(platform.Page{Records: f.addresses, End: int64(len(f.addresses))}, true)
 	}
 	n.expireHosts(now)
-	n.shareLimits(now)
-	f.tell(n, n.members.Tick(h.tick, n.limiter.Untold(), now), true, now)
+	n.updateLimitShares(now)
+	f.sendHeartbeat(n, n.members.Tick(h.tick, n.limiter.Untold(), now), true, now)
 	h.tick++
 }
 
-// tell is Node.beat without a socket.
-func (f *limitFleet) tell(n *Node, to member.Audience, round bool, now time.Time) {
-	state := n.state(now)
+// sendHeartbeat is Node.sendHeartbeat without a socket.
+func (f *limitFleet) sendHeartbeat(n *Node, to member.Audience, atInterval bool, now time.Time) {
+	state := n.commonHeartbeat(now)
 	if len(to.Full) > 0 {
 		full := proto.CloneOf(state)
-		if round {
+		if atInterval {
 			full.Members = n.members.MemberStates(false, now)
 		}
-		n.addWork(full, round, now)
+		n.addRoutingState(full, atInterval, now)
 		f.send(n, full, to.Full)
 	}
 	if len(to.Brief) > 0 {
-		f.send(n, n.brief(state, now), to.Brief)
+		f.send(n, n.standbyHeartbeat(state, now), to.Brief)
 	}
 	if len(to.Ask) > 0 {
 		state.Asks = true
@@ -197,20 +199,20 @@
 func (f *limitFleet) send(n *Node, b *pb.Heartbeat, to []string) {
 	for _, part := range member.Split(b, n.nextSequence) {
 		for _, address := range to {
-			if h := f.at[address]; h != nil && !time.Now().Before(h.n.started) && f.rng.IntN(100) > 0 {
-				h.n.heard(proto.CloneOf(part))
+			if h := f.byAddress[address]; h != nil && !time.Now().Before(h.n.started) && f.rng.IntN(100) > 0 {
+				h.n.receiveHeartbeat(proto.CloneOf(part))
 			}
 		}
 	}
 }
 
-// requests sends what an organisation's callers ask for in a step.
-func (f *limitFleet) requests(o *limitOrganisation, demand float64, now time.Time) {
-	// However they fall together, they stay far below the smallest burst.
+// requests sends an organisation's requests of one step.
+func (f *limitFleet) requests(o *limitOrganisation, demandShare float64, now time.Time) {
+	// Requests are small, so that even many at once stay far below the smallest burst.
 	const short, long, longShare = 390, 8_000, 0.05
-	o.ideal = max(0, o.ideal-o.limit.PerSecond*fleetStep.Seconds())
-	mean := demand * o.limit.PerSecond * fleetStep.Seconds() / (long*longShare + short*(1-longShare))
-	for passed := f.rng.ExpFloat64(); passed < mean; passed += f.rng.ExpFloat64() {
+	o.idealLevel = max(0, o.idealLevel-o.limit.PerSecond*fleetStep.Seconds())
+	expected := demandShare * o.limit.PerSecond * fleetStep.Seconds() / (long*longShare + short*(1-longShare))
+	for drawn := f.rng.ExpFloat64(); drawn < expected; drawn += f.rng.ExpFloat64() {
 		cost := short
 		if f.rng.Float64() < longShare {
 			cost = long
@@ -221,50 +223,50 @@
 	}
 }
 
-// host returns the host of one of an organisation's callers. Once its answer is too old, it asks
-// the directory of any host and goes elsewhere where that no longer names its host.
+// host returns the host of one of an organisation's callers. Once the caller's answer has
+// expired, it queries the directory of any host and switches if that no longer lists its host.
 func (f *limitFleet) host(o *limitOrganisation, now time.Time) *limitHost {
 	c := &o.callers[f.rng.IntN(len(o.callers))]
-	if c.host != nil && !now.Before(c.host.up) && now.Sub(c.asked) < answerTTL {
+	if c.host != nil && !now.Before(c.host.readyAt) && now.Sub(c.resolved) < answerTTL {
 		return c.host
 	}
-	asked := f.hosts[f.rng.IntN(len(f.hosts))]
-	if now.Before(asked.up) {
+	resolver := f.hosts[f.rng.IntN(len(f.hosts))]
+	if now.Before(resolver.readyAt) {
 		return nil
 	}
-	named := asked.n.directory(fmt.Sprint("zone-", f.rng.IntN(fleetZones)))
-	if len(named) == 0 {
+	addresses := resolver.n.directory(fmt.Sprint("zone-", f.rng.IntN(fleetZones)))
+	if len(addresses) == 0 {
 		return nil
 	}
-	if c.asked = now; c.host == nil || now.Before(c.host.up) || !slices.Contains(named, c.host.n.settings.Listen.Caller) {
-		c.host = f.at[named[0]]
+	if c.resolved = now; c.host == nil || now.Before(c.host.readyAt) || !slices.Contains(addresses, c.host.n.settings.Listen.Caller) {
+		c.host = f.byAddress[addresses[0]]
 	}
-	if now.Before(c.host.up) {
+	if now.Before(c.host.readyAt) {
 		c.host = nil
 	}
 	return c.host
 }
 
 func (f *limitFleet) request(o *limitOrganisation, h *limitHost, cost int, now time.Time) {
-	owed := o.ideal < o.limit.Burst
-	if owed {
-		o.ideal += float64(cost)
-		f.owed += float64(cost)
+	entitled := o.idealLevel < o.limit.Burst
+	if entitled {
+		o.idealLevel += float64(cost)
+		f.entitled += float64(cost)
 	}
 	admitted := h.n.limiter.Admit(o.name, quota.Size{PromptTokens: cost, Said: true}, now).Admitted
 	switch {
-	case !admitted && owed:
+	case !admitted && entitled:
 		f.refused += float64(cost)
 	case admitted && h.n.limiter.TellNow(o.name):
-		f.tell(h.n, h.n.members.Now(false, now), false, now)
+		f.sendHeartbeat(h.n, h.n.members.Now(false, now), false, now)
 	}
 }
 
-// TestNothingIsRefusedBelowLimitsAfterRestarts: hosts that restarted divided limits by hosts
-// that no longer were, or by levels that had grown without bound, and four in five requests of
-// organisations far below their limits were refused from then on. However large the fleet and
-// whichever hosts restart, again and again, that has to end. What is refused until then is
-// printed.
+// TestNothingIsRefusedBelowLimitsAfterRestarts guards against lasting rejections after restarts.
+// Restarted hosts divided limits by hosts that no longer existed, or used levels that had grown
+// without limit, and from then on rejected four in five requests of organisations far below
+// their limits. Rejections must end after any restarts of a fleet of any size. The test prints
+// what is rejected until then.
 func TestNothingIsRefusedBelowLimitsAfterRestarts(t *testing.T) {
 	fleets := []struct{ large, small int }{{3, 0}, {9, 0}, {4, 16}}
 	if *wholeFleets {
@@ -272,29 +274,29 @@
 	}
 	var table strings.Builder
 	table.WriteString("| large, small hosts | restart | refused until 5 s after | later |\n|---|---|---|---|\n")
-	var broken []string
+	var violations []string
 	for _, size := range fleets {
 		synctest.Test(t, func(t *testing.T) {
 			f := newLimitFleet(t, size.large, size.small)
 			f.run(12*time.Second, 0)
 			for _, r := range restarts {
 				r.play(f)
-				until := f.run(restAfter, calmDemand)
-				later := f.run(restAfter, calmDemand)
+				until := f.run(settleTime, belowLimitShare)
+				later := f.run(settleTime, belowLimitShare)
 				fmt.Fprintf(&table, "| %d, %d | %s | %.2f %% | %.2f %% |\n", size.large, size.small, r.name, 100*until, 100*later)
-				if later > refusedAtRest {
-					broken = append(broken, fmt.Sprintf("%d large and %d small hosts, restart of %s: %.2f %% refused below limits from %v on", size.large, size.small, r.name, 100*later, restAfter))
+				if later > maxRefusedShare {
+					violations = append(violations, fmt.Sprintf("%d large and %d small hosts, restart of %s: %.2f %% refused below limits from %v on", size.large, size.small, r.name, 100*later, settleTime))
 				}
 			}
 		})
 	}
 	t.Log("\n" + table.String())
-	for _, line := range broken {
+	for _, line := range violations {
 		t.Error(line)
 	}
 }
 
-// restarts is the series that each fleet goes through.
+// restarts are the restarts that each fleet goes through, in this order.
 var restarts = []struct {
 	name string
 	play func(f *limitFleet)
@@ -305,25 +307,25 @@
 	{"the large ones", func(f *limitFleet) { f.restart(largeHosts) }},
 	{"all, and nine in ten soon after", func(f *limitFleet) {
 		f.restart(everyHost)
-		f.run(time.Second, calmDemand)
+		f.run(time.Second, belowLimitShare)
 		f.restart(func(f *limitFleet, _ *limitHost) bool { return f.rng.IntN(10) > 0 })
 	}},
 	{"a fifth, six times a second apart", func(f *limitFleet) {
 		for range 6 {
 			f.restart(oneInFive)
-			f.run(time.Second, calmDemand)
+			f.run(time.Second, belowLimitShare)
 		}
 	}},
 	{"each in turn", func(f *limitFleet) {
 		for _, h := range f.hosts {
 			f.restart(func(_ *limitFleet, other *limitHost) bool { return other == h })
-			f.run(turn/time.Duration(len(f.hosts)), calmDemand)
+			f.run(rollingRestartTime/time.Duration(len(f.hosts)), belowLimitShare)
 		}
 	}},
 }
 
-// turn is how long it takes to restart each host of a fleet in turn.
-const turn = 8 * time.Second
+// rollingRestartTime is the duration of a rolling restart of a whole fleet.
+const rollingRestartTime = 8 * time.Second
 
 func everyHost(*limitFleet, *limitHost) bool         { return true }
 func oneInFive(f *limitFleet, _ *limitHost) bool     { return f.rng.IntN(5) == 0 }
--- a/internal/node/stop_test.go
+++ b/internal/node/stop_test.go
@@ -16,7 +16,7 @@
 	"github.com/briarlink/briarlink/internal/settings"
 )
 
-// pipeListener accepts one connection in memory.
+// pipeListener accepts a single in-memory connection.
 type pipeListener struct {
 	conns chan net.Conn
 	once  sync.Once
@@ -46,10 +46,10 @@
 	return string(body), err
 }
 
-// TestAnswersOnTheirWayOutliveAStop: a request is not open any more when its handler
-// has returned, and the end of its answer may still have to be written. It has the
-// rest of the grace time, not a moment.
-func TestAnswersOnTheirWayOutliveAStop(t *testing.T) {
+// TestStopFinishesAnswersInTransit guards against a stop cutting the end of an answer. A request
+// no longer counts as open once its handler has returned, but the end of its answer may not be
+// written yet. It has the rest of the grace time.
+func TestStopFinishesAnswersInTransit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const grace = 8 * time.Second
 		set := settings.Defaults()
@@ -61,17 +61,17 @@
 		defer closer.Close()
 		n.metrics = metrics
 		n.buildEntry()
-		// The handler is none of the entry's: nothing counts its request as open.
+		// This handler bypasses the entry, so its request does not count as open.
 		s := &server{log: log, http: &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			_, _ = io.WriteString(w, "beginning ")
-			time.Sleep(part(grace, closeAfter) + 2*time.Second)
+			time.Sleep(fraction(grace, closeShare) + 2*time.Second)
 			_, _ = io.WriteString(w, "end")
 		})}}
-		near, far := net.Pipe()
+		callerConn, serverConn := net.Pipe()
 		listener := &pipeListener{conns: make(chan net.Conn, 1)}
-		listener.conns <- far
-		go func() { n.ended("callers", s.http.Serve(listener)) }()
-		if _, err := io.WriteString(near, "GET / HTTP/1.1\r\nHost: museum.example\r\n\r\n"); err != nil {
+		listener.conns <- serverConn
+		go func() { n.logServeEnd("callers", s.http.Serve(listener)) }()
+		if _, err := io.WriteString(callerConn, "GET / HTTP/1.1\r\nHost: museum.example\r\n\r\n"); err != nil {
 			t.Fatal(err)
 		}
 		began := time.Now()
@@ -80,7 +80,7 @@
 			defer close(stopped)
 			n.stop([]*server{s})
 		}()
-		body, err := readAnswer(near)
+		body, err := readAnswer(callerConn)
 		if err != nil || body != "beginning end" {
 			t.Errorf("%q, %v", body, err)
 		}
@@ -88,7 +88,7 @@
 		if took := time.Since(began); took > grace {
 			t.Errorf("the stop took %v of a grace time of %v", took, grace)
 		}
-		// A handler whose connection was cut ends too.
+		// Let the handler end also if its connection was cut.
 		time.Sleep(grace)
 	})
 }
