--- a/internal/entry/answer.go
+++ b/internal/entry/answer.go
@@ -14,7 +14,8 @@
 	"github.com/briarlink/briarlink/internal/obs"
 )
 
-// copyHeaders sets a replica's headers, and keeps net/http from adding a type.
+// copyHeaders copies the replica's headers to the answer and keeps net/http from guessing a
+// Content-Type where the replica sent none.
 func (ex *exchange) copyHeaders(h http.Header) {
 	out := ex.w.Header()
 	for name, values := range h {
@@ -25,7 +26,7 @@
 	}
 }
 
-// Whole implements dispatch.Answer.
+// Whole implements dispatch.Answer: it writes a buffered answer.
 func (ex *exchange) Whole(status int, h http.Header, body []byte) error {
 	ex.copyHeaders(h)
 	ex.w.Header().Set("Content-Length", strconv.Itoa(len(body)))
@@ -35,7 +36,7 @@
 	return errors.Wrap(err, "write an answer")
 }
 
-// Start implements dispatch.Answer.
+// Start implements dispatch.Answer: it writes the head of a streamed answer.
 func (ex *exchange) Start(status int, h http.Header) error {
 	ex.copyHeaders(h)
 	ex.answered = true
@@ -43,7 +44,7 @@
 	return nil
 }
 
-// Event implements dispatch.Answer.
+// Event implements dispatch.Answer: it writes and flushes one event of a streamed answer.
 func (ex *exchange) Event(data []byte) error {
 	if _, err := ex.w.Write(data); err != nil {
 		return errors.Wrap(err, "write an event")
@@ -61,7 +62,7 @@
 	RunState string `json:"run_state"`
 }
 
-// writeError answers with an error of the host's own.
+// writeError answers with an error that this host, not a replica, produced.
 func writeError(w http.ResponseWriter, err error) {
 	e := errkind.From(err)
 	answer := e.Kind.Answer()
@@ -71,16 +72,16 @@
 	}
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
-	if after := e.Retry(); after > 0 {
-		h.Set("Retry-After", strconv.FormatFloat(after.Seconds(), 'f', 3, 64))
+	if retryAfter := e.Retry(); retryAfter > 0 {
+		h.Set("Retry-After", strconv.FormatFloat(retryAfter.Seconds(), 'f', 3, 64))
 	}
 	w.WriteHeader(answer.Status)
-	// The connection's own failure is the caller's to see.
+	// A write error means that the caller's connection failed: nothing more can be sent to it.
 	_, _ = w.Write(body)
 }
 
-// outcome names what the caller got: a replica's own failure is passed on as it is,
-// and is no success.
+// outcome returns the outcome for logs and metrics. A replica's 5xx answer is forwarded
+// unchanged, but counts as a backend error.
 func (ex *exchange) outcome(err error) string {
 	switch {
 	case err != nil:
@@ -92,14 +93,14 @@
 	}
 }
 
-// log writes the request's one line, and counts it.
+// log writes the request's single log line and updates the metrics.
 func (ex *exchange) log(err error) {
 	outcome := ex.outcome(err)
-	took := clock.Since(ex.arrived)
+	elapsed := clock.Since(ex.arrived)
 	ex.s.Metrics.Answered(outcome)
-	ex.measure(took)
+	ex.measure(elapsed)
 	fields := logrus.Fields{
-		"request": ex.caller.ID, "outcome": outcome, "ms": took.Milliseconds(),
+		"request": ex.caller.ID, "outcome": outcome, "ms": elapsed.Milliseconds(),
 		"state": ex.report.State, "replica": ex.report.Replica, "status": ex.report.Status,
 		"sends": ex.report.Sends, "ran": ex.report.Ran,
 	}
@@ -129,8 +130,8 @@
 	}
 	line := ex.s.Log.WithFields(fields)
 	if err != nil {
-		if after := errkind.From(err).Retry(); after > 0 {
-			line = line.WithField("retry_after_ms", after.Milliseconds())
+		if retryAfter := errkind.From(err).Retry(); retryAfter > 0 {
+			line = line.WithField("retry_after_ms", retryAfter.Milliseconds())
 		}
 		line.WithError(err).Warn("request")
 		return
@@ -138,9 +139,10 @@
 	line.Info("request")
 }
 
-func (ex *exchange) measure(took time.Duration) {
+// measure records the request's latency, token and repeat metrics.
+func (ex *exchange) measure(elapsed time.Duration) {
 	m, r := ex.s.Metrics, &ex.report
-	m.Whole.RecordDuration(took)
+	m.Whole.RecordDuration(elapsed)
 	if r.First > 0 {
 		m.First.RecordDuration(r.First)
 	}
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -32,23 +32,24 @@
 const (
 	testHost = "museum.example"
 	testKey  = "key-a"
-	// dialLimit bounds attempts to connect, which are over as soon as there is a connection.
-	dialLimit = 20 * time.Second
+	// dialTimeout bounds connection attempts. It may be long, as an attempt ends once it is connected.
+	dialTimeout = 20 * time.Second
 )
 
-// fixture is a server before one engine.
+// fixture is a server in front of one engine.
 type fixture struct {
 	*httptest.Server
 	engine *engine.Engine
 	view   View
 	deps   Deps
-	seen   http.Header
+	// engineHeader holds the headers of the last request that the engine ran.
+	engineHeader http.Header
 }
 
 func newFixture(t *testing.T) *fixture {
 	t.Helper()
 	f := &fixture{}
-	f.engine = engine.New(engine.Options{ID: "i-1", Service: "s", Slots: 4, Model: "m", Events: 6, OnRun: func(_ string, h http.Header) { f.seen = h.Clone() }})
+	f.engine = engine.New(engine.Options{ID: "i-1", Service: "s", Slots: 4, Model: "m", Events: 6, OnRun: func(_ string, h http.Header) { f.engineHeader = h.Clone() }})
 	backend := httptest.NewServer(f.engine.Handler())
 	t.Cleanup(backend.Close)
 	log := logrus.New()
@@ -56,9 +57,9 @@
 	table := replica.NewTable(log, func(string, string) {})
 	table.Register(platform.Registration{ID: "i-1", Service: "s", Address: backend.Listener.Addr().String(), Slots: 4, Weights: map[string]int64{"m": 1}}, 0)
 	pool := upstream.NewPool()
-	// The product's own limit is short enough for a busy machine to pass it.
+	// The pool's default dial timeout is so short that a busy machine may exceed it.
 	pool.Dial = func(ctx context.Context, address string) (net.Conn, error) {
-		return netdial.New(dialLimit).DialContext(ctx, "tcp4", address)
+		return netdial.New(dialTimeout).DialContext(ctx, "tcp4", address)
 	}
 	t.Cleanup(pool.Close)
 	metrics, _, closer := obs.NewMetrics()
@@ -95,8 +96,8 @@
 	return c.Build()
 }
 
-// ask sends a request and returns its answer; whole is false when it was cut.
-func (f *fixture) ask(t *testing.T, path, key, body string) (resp *http.Response, text string, whole bool) {
+// post sends a request and returns the answer. complete is false if the answer was cut off.
+func (f *fixture) post(t *testing.T, path, key, body string) (resp *http.Response, text string, complete bool) {
 	t.Helper()
 	req, err := http.NewRequest(http.MethodPost, f.URL+path, strings.NewReader(body))
 	if err != nil {
@@ -115,20 +116,20 @@
 	return resp, string(data), err == nil
 }
 
-func TestAnswerIsPassedOn(t *testing.T) {
+func TestAnswerIsForwarded(t *testing.T) {
 	f := newFixture(t)
-	resp, text, whole := f.ask(t, "/notes/1", testKey, "x")
-	if resp == nil || resp.StatusCode != http.StatusOK || !whole || strings.Count(text, "data:") != 6 || resp.Header.Get(wire.Attempt) != "r-1" {
-		t.Errorf("answer %v, %q, whole %t", resp, text, whole)
+	resp, text, complete := f.post(t, "/notes/1", testKey, "x")
+	if resp == nil || resp.StatusCode != http.StatusOK || !complete || strings.Count(text, "data:") != 6 || resp.Header.Get(wire.Attempt) != "r-1" {
+		t.Errorf("answer %v, %q, complete %t", resp, text, complete)
 	}
-	if f.seen.Get(wire.Organisation) != "museum-a" || f.seen.Get(wire.Key) != "" || f.seen.Get(wire.Salt) != "m/w1" {
-		t.Errorf("the engine got organisation %q, key %q, salt %q", f.seen.Get(wire.Organisation), f.seen.Get(wire.Key), f.seen.Get(wire.Salt))
+	if f.engineHeader.Get(wire.Organisation) != "museum-a" || f.engineHeader.Get(wire.Key) != "" || f.engineHeader.Get(wire.Salt) != "m/w1" {
+		t.Errorf("the engine got organisation %q, key %q, salt %q", f.engineHeader.Get(wire.Organisation), f.engineHeader.Get(wire.Key), f.engineHeader.Get(wire.Salt))
 	}
 }
 
-// TestDenialNeedsAFreshView: a host that may lack a newer configuration says so,
-// and asks the caller to come back.
-func TestDenialNeedsAFreshView(t *testing.T) {
+// TestUnknownRouteOrKeyWithStaleView: a host that may have missed a newer configuration does not
+// deny an unknown route or key, but tells the caller to retry.
+func TestUnknownRouteOrKeyWithStaleView(t *testing.T) {
 	f := newFixture(t)
 	for name, c := range map[string]struct {
 		path, key string
@@ -136,72 +137,75 @@
 		want      int
 	}{
 		"an unknown route":                {"/other/1", testKey, 0, http.StatusNotFound},
-		"an unknown route, an old view":   {"/other/1", testKey, 2 * staleView, http.StatusServiceUnavailable},
+		"an unknown route, an old view":   {"/other/1", testKey, 2 * staleViewAge, http.StatusServiceUnavailable},
 		"an unknown key":                  {"/notes/1", "other", 0, http.StatusUnauthorized},
-		"an unknown key, an old view":     {"/notes/1", "other", 2 * staleView, http.StatusServiceUnavailable},
+		"an unknown key, an old view":     {"/notes/1", "other", 2 * staleViewAge, http.StatusServiceUnavailable},
 		"no key":                          {"/notes/1", "", 0, http.StatusUnauthorized},
-		"a known route and key, old view": {"/notes/1", testKey, 2 * staleView, http.StatusOK},
+		"a known route and key, old view": {"/notes/1", testKey, 2 * staleViewAge, http.StatusOK},
 	} {
 		f.view.Age = c.age
-		resp, _, _ := f.ask(t, c.path, c.key, "")
+		resp, _, _ := f.post(t, c.path, c.key, "")
 		if resp == nil || resp.StatusCode != c.want {
 			t.Errorf("%s: %v, want %d", name, resp, c.want)
 			continue
 		}
-		if back := resp.Header.Get("Retry-After"); (back != "") != (c.want == http.StatusServiceUnavailable) {
-			t.Errorf("%s: asked back after %q", name, back)
+		if retryAfter := resp.Header.Get("Retry-After"); (retryAfter != "") != (c.want == http.StatusServiceUnavailable) {
+			t.Errorf("%s: Retry-After %q", name, retryAfter)
 		}
 	}
 }
 
-func TestWithoutConfigurationNobodyIsDenied(t *testing.T) {
+// TestMissingConfigurationAnswersUnavailable: without any configuration the host answers 503, not 404 or 401.
+func TestMissingConfigurationAnswersUnavailable(t *testing.T) {
 	f := newFixture(t)
 	f.view = View{}
-	if resp, _, _ := f.ask(t, "/other/1", "other", ""); resp == nil || resp.StatusCode != http.StatusServiceUnavailable {
+	if resp, _, _ := f.post(t, "/other/1", "other", ""); resp == nil || resp.StatusCode != http.StatusServiceUnavailable {
 		t.Errorf("answer %v", resp)
 	}
 }
 
-// TestCutAnswersAreCut: what its engine cut is never ended as if it were whole.
-func TestCutAnswersAreCut(t *testing.T) {
+// TestTruncatedAnswersAreAborted: an answer that the engine cut off must not end cleanly, as the
+// caller would take it for complete.
+func TestTruncatedAnswersAreAborted(t *testing.T) {
 	f := newFixture(t)
 	f.engine.Next(engine.Cut)
-	resp, text, whole := f.ask(t, "/notes/1", testKey, "")
-	if resp == nil || whole || !strings.HasSuffix(text, "\n\n") {
-		t.Errorf("answer %v, %q, whole %t", resp, text, whole)
+	resp, text, complete := f.post(t, "/notes/1", testKey, "")
+	if resp == nil || complete || !strings.HasSuffix(text, "\n\n") {
+		t.Errorf("answer %v, %q, complete %t", resp, text, complete)
 	}
 }
 
 func TestLargeBodiesAreRefused(t *testing.T) {
 	f := newFixture(t)
-	resp, _, _ := f.ask(t, "/notes/1", testKey, strings.Repeat("x", 2<<10))
+	resp, _, _ := f.post(t, "/notes/1", testKey, strings.Repeat("x", 2<<10))
 	if resp == nil || resp.StatusCode != http.StatusRequestEntityTooLarge || f.engine.Ran("r-1") != 0 {
 		t.Errorf("answer %v, ran %d times", resp, f.engine.Ran("r-1"))
 	}
 }
 
-// TestStoppingHostsAskCallersToGo: with the answer, which they still get.
-func TestStoppingHostsAskCallersToGo(t *testing.T) {
+// TestStoppingHostsCloseConnections: a stopping host still answers the request, and asks the
+// caller to close the connection.
+func TestStoppingHostsCloseConnections(t *testing.T) {
 	f := newFixture(t)
 	f.deps.Closing = func() bool { return true }
-	if resp, _, whole := f.ask(t, "/notes/1", testKey, ""); resp == nil || !resp.Close || !whole {
-		t.Errorf("answer %v, whole %t", resp, whole)
+	if resp, _, complete := f.post(t, "/notes/1", testKey, ""); resp == nil || !resp.Close || !complete {
+		t.Errorf("answer %v, complete %t", resp, complete)
 	}
 }
 
-// TestDirectory names hosts, and is no answer when there are none.
+// TestDirectory: the directory lists the hosts, and answers 503 if there are none.
 func TestDirectory(t *testing.T) {
 	f := newFixture(t)
-	ask := func() *httptest.ResponseRecorder {
+	get := func() *httptest.ResponseRecorder {
 		w := httptest.NewRecorder()
 		New(f.deps).DirectoryHandler().ServeHTTP(w, httptest.NewRequest(http.MethodGet, platform.PathDirectory+"?Zone=z", nil))
 		return w
 	}
-	if w := ask(); w.Code != http.StatusOK || !strings.Contains(w.Body.String(), "10.0.0.1:1") {
+	if w := get(); w.Code != http.StatusOK || !strings.Contains(w.Body.String(), "10.0.0.1:1") {
 		t.Errorf("answer %d %s", w.Code, w.Body)
 	}
 	f.deps.Directory = func(string) []string { return nil }
-	if w := ask(); w.Code != http.StatusServiceUnavailable {
+	if w := get(); w.Code != http.StatusServiceUnavailable {
 		t.Errorf("answer %d without hosts", w.Code)
 	}
 }
--- a/internal/entry/limit.go
+++ b/internal/entry/limit.go
@@ -10,33 +10,33 @@
 	"github.com/briarlink/briarlink/internal/quota"
 )
 
-// limit charges the request to its organisation, or refuses it. It comes before the body
-// is read: a refusal costs next to nothing.
-func (ex *exchange) limit() error {
+// chargeQuota charges the request to its organisation's rate limit, or rejects it. It runs
+// before the body is read, so that a rejection costs almost nothing.
+func (ex *exchange) chargeQuota() error {
 	if ex.org == nil {
 		return nil
 	}
-	d := ex.s.Limiter.Admit(ex.org.Name, quota.Size{
+	decision := ex.s.Limiter.Admit(ex.org.Name, quota.Size{
 		PromptTokens: ex.caller.PromptTokens, OutputTokens: ex.caller.OutputTokens, Said: ex.caller.SaysTokens,
 	}, ex.arrived)
-	if d.Admitted {
-		ex.charged = d.Cost
-		if d.Cost > 0 && ex.s.Limiter.TellNow(ex.org.Name) {
+	if decision.Admitted {
+		ex.charged = decision.Cost
+		if decision.Cost > 0 && ex.s.Limiter.TellNow(ex.org.Name) {
 			ex.s.Tell()
 		}
 		return nil
 	}
 	ex.s.Metrics.OverLimit(ex.org.Name)
-	if d.First {
-		ex.s.Log.WithFields(logrus.Fields{"organisation": ex.org.Name, "limit": d.Limit.String()}).Warn("organisation over its rate limit")
+	if decision.First {
+		ex.s.Log.WithFields(logrus.Fields{"organisation": ex.org.Name, "limit": decision.Limit.String()}).Warn("organisation over its rate limit")
 	}
 	return errkind.New(errkind.QuotaExceeded, fmt.Sprintf("%s is at its rate limit over all hosts: %s; the request counts %d",
-		ex.org.Name, &d.Limit, d.Cost)).After(d.RetryAfter)
+		ex.org.Name, &decision.Limit, decision.Cost)).After(decision.RetryAfter)
 }
 
-// settle gives back what was charged for a request that has not run, and charges what
-// ran more than once.
-func (ex *exchange) settle() {
+// adjustCharge corrects the charge once the request has ended: it refunds a request that did
+// not run, and charges each run beyond the first.
+func (ex *exchange) adjustCharge() {
 	if ex.charged == 0 {
 		return
 	}
--- a/internal/entry/request.go
+++ b/internal/entry/request.go
@@ -21,7 +21,7 @@
 	"github.com/briarlink/briarlink/platform"
 )
 
-// exchange is one caller's request.
+// exchange is one caller's request and its answer.
 type exchange struct {
 	s       *Server
 	w       http.ResponseWriter
@@ -32,9 +32,9 @@
 	route   *config.Route
 	org     *config.Organisation
 	report  dispatch.Report
-	// charged is what the request counts against its organisation's rate limit.
+	// charged is what was charged to the organisation's rate limit for one run.
 	charged int64
-	// answered is true once bytes of an answer were written.
+	// answered is true once writing of an answer to the caller has begun.
 	answered bool
 }
 
@@ -46,7 +46,7 @@
 		return
 	}
 	if ex.answered || errkind.Is(err, errkind.CallerGone) {
-		// What was sent is no whole answer; a clean end would make it look like one.
+		// The answer is incomplete; ending it cleanly would make it look complete.
 		panic(http.ErrAbortHandler)
 	}
 	platform.SetRequestID(w.Header(), ex.caller.ID)
@@ -65,13 +65,13 @@
 	if err := ex.s.Refuse(); err != nil {
 		return err
 	}
-	if err := ex.admit(); err != nil {
+	if err := ex.resolve(); err != nil {
 		return err
 	}
-	if err := ex.limit(); err != nil {
+	if err := ex.chargeQuota(); err != nil {
 		return err
 	}
-	defer ex.settle()
+	defer ex.adjustCharge()
 	body, err := ex.body()
 	if err != nil {
 		return err
@@ -82,37 +82,37 @@
 	return ex.dispatch(body)
 }
 
-// staleView is the age from which a view may lack a route or key that is in
-// force: then a caller is asked to come back, not told that it does not exist.
-const staleView = 1500 * time.Millisecond
+// staleViewAge is the age above which the view may not yet have a route or key that is in
+// force. A caller that uses an unknown one is then told to retry, not that it does not exist.
+const staleViewAge = 1500 * time.Millisecond
 
-// admit finds the route and the organisation.
-func (ex *exchange) admit() error {
+// resolve finds the route and, unless the route is public, the organisation of the API key.
+func (ex *exchange) resolve() error {
 	c := ex.view.Config
 	if c == nil {
 		return errkind.New(errkind.NotReady, "this host has no configuration yet")
 	}
 	path, _, _ := strings.Cut(ex.r.RequestURI, "?")
-	ex.route = c.Route(hostOf(ex.r.Host), path)
+	ex.route = c.Route(stripPort(ex.r.Host), path)
 	if ex.route == nil {
-		return ex.unknown(errkind.NotFound, "no route matches")
+		return ex.lookupError(errkind.NotFound, "no route matches")
 	}
 	if ex.caller.Key == "" {
-		ex.bearer(c)
+		ex.useBearerKey(c)
 	}
 	if ex.route.Public || !c.NeedsKeys() {
 		return nil
 	}
 	ex.org = c.Organisation(ex.caller.Key)
 	if ex.org == nil {
-		return ex.unknown(errkind.Unauthenticated, "the API key is missing or unknown")
+		return ex.lookupError(errkind.Unauthenticated, "the API key is missing or unknown")
 	}
 	return nil
 }
 
-// bearer takes a known key from an OpenAI-compatible caller's Authorization
-// header, which is then not passed on.
-func (ex *exchange) bearer(c *config.Config) {
+// useBearerKey takes the API key from the Authorization header, where OpenAI-compatible
+// callers send it. If the key is known, the header is not forwarded to the replica.
+func (ex *exchange) useBearerKey(c *config.Config) {
 	key, ok := strings.CutPrefix(ex.r.Header.Get("Authorization"), "Bearer ")
 	if ok && c.Organisation(key) != nil {
 		ex.caller.Key = key
@@ -120,20 +120,24 @@
 	}
 }
 
-func (ex *exchange) unknown(kind errkind.Kind, reason string) error {
-	if ex.view.Age > staleView {
+// lookupError returns the error for an unknown route or key. While the view is stale, it is a
+// temporary error instead of kind.
+func (ex *exchange) lookupError(kind errkind.Kind, reason string) error {
+	if ex.view.Age > staleViewAge {
 		return errkind.New(errkind.OutOfTouch, reason+", but this host may lack a newer configuration")
 	}
 	return errkind.New(kind, reason)
 }
 
-func hostOf(host string) string {
+// stripPort returns the host of a host or host:port.
+func stripPort(host string) string {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		return name
 	}
 	return host
 }
 
+// body reads the request's body up to the configured limit.
 func (ex *exchange) body() ([]byte, error) {
 	limit := ex.view.Config.Limits.MaxBodyBytes
 	if limit <= 0 {
@@ -150,7 +154,8 @@
 	return body, nil
 }
 
-// describe fills in what an OpenAI-compatible caller says in its body.
+// describe fills in the caller's request from an OpenAI-compatible body, unless the headers
+// already describe the prompt.
 func (ex *exchange) describe(body []byte) error {
 	if !ex.route.Prompts || len(ex.caller.Parts) > 0 || !oai.Matches(ex.r.URL.Path) {
 		return nil
@@ -161,16 +166,17 @@
 	return nil
 }
 
-// leastSize stands for a prompt whose caller does not say its size.
-const leastSize = 64
+// defaultPromptTokens is assumed for a prompt whose caller does not state its size.
+const defaultPromptTokens = 64
 
+// dispatch sends the request to a replica and writes its answer.
 func (ex *exchange) dispatch(body []byte) error {
 	service := ex.view.Config.Services[pickService(ex.route, ex.caller.ID)]
 	if service == nil {
 		return errkind.New(errkind.NoBackend, "the route's service is not configured")
 	}
 	if service.Engine != nil && ex.caller.PromptTokens == 0 {
-		ex.caller.PromptTokens = leastSize
+		ex.caller.PromptTokens = defaultPromptTokens
 	}
 	deadline := ex.deadline()
 	ctx, cancel := context.WithTimeout(ex.r.Context(), clock.Until(deadline))
@@ -193,20 +199,21 @@
 	return err
 }
 
-// deadline is the earliest of the caller's and the route's.
+// deadline returns when the request times out: the caller's timeout or else the default, but
+// no later than the route's.
 func (ex *exchange) deadline() time.Time {
-	wait := ex.s.DefaultDeadline
+	timeout := ex.s.DefaultDeadline
 	if ex.caller.Timeout > 0 {
-		wait = ex.caller.Timeout
+		timeout = ex.caller.Timeout
 	}
 	if ex.route.Timeout > 0 {
-		wait = min(wait, ex.route.Timeout)
+		timeout = min(timeout, ex.route.Timeout)
 	}
-	return ex.arrived.Add(wait)
+	return ex.arrived.Add(timeout)
 }
 
-// pickService draws one of a route's services by weight, the same for the same
-// request.
+// pickService picks one of the route's services by weight. The same request ID always gives
+// the same service.
 func pickService(r *config.Route, id string) string {
 	total := 0
 	for _, s := range r.Services {
@@ -215,10 +222,10 @@
 	if total <= 0 {
 		return r.Services[0].Service
 	}
-	at := int(xxh3.HashString(id) % uint64(total))
+	point := int(xxh3.HashString(id) % uint64(total))
 	for _, s := range r.Services {
-		at -= s.Weight
-		if at < 0 {
+		point -= s.Weight
+		if point < 0 {
 			return s.Service
 		}
 	}
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -1,5 +1,5 @@
-// Package entry is the callers' side of an entry host: their requests, the call
-// that says which entry hosts to use, and the platform's readiness checks.
+// Package entry serves callers on an entry host: their requests, the directory call that lists
+// the entry hosts to use, and the platform's readiness checks.
 package entry
 
 import (
@@ -18,36 +18,38 @@
 	"github.com/briarlink/briarlink/platform"
 )
 
-// View is what a host believes of the configuration.
+// View is the configuration as this host knows it.
 type View struct {
-	// Config is nil before the first configuration is known.
+	// Config is nil until the first configuration has been received.
 	Config *config.Config
-	// Age is the time since this host could have missed a newer one.
+	// Age is the time during which this host may have missed a newer configuration.
 	Age time.Duration
 }
 
-// Deps is what the callers' side needs from the rest of the host.
+// Deps are the server's dependencies and settings.
 type Deps struct {
 	// View returns the configuration in force on this host.
 	View func() View
-	// Refuse returns an error while the host takes no new requests.
+	// Refuse returns an error while the host accepts no new requests, and nil otherwise.
 	Refuse func() error
-	// Ready reports whether callers may be sent here.
+	// Ready reports whether the host passes the readiness check, so that callers may be sent to it.
 	Ready func() bool
-	// Closing reports whether callers should connect elsewhere.
+	// Closing reports whether callers should close their connections and use another host.
 	Closing func() bool
-	// Directory returns the callers' addresses of hosts for an availability zone.
-	Directory  func(zone string) []string
+	// Directory returns the addresses of the entry hosts that callers in an availability zone
+	// should use.
+	Directory func(zone string) []string
+	// AnswerTTL is how long callers may use a directory answer.
 	AnswerTTL  time.Duration
 	Dispatcher *dispatch.Dispatcher
-	// Limiter keeps organisations within their rate limits, and Tell lets other hosts
-	// know at once what this one let in.
+	// Limiter enforces the organisations' rate limits. Tell makes this host report at once to
+	// the other hosts what it has admitted.
 	Limiter *quota.Limiter
 	Tell    func()
 	Metrics *obs.Metrics
 	Log     *logrus.Logger
-	// MaxBodyBytes and DefaultDeadline hold where neither the configuration nor
-	// the caller says.
+	// MaxBodyBytes applies where the configuration sets no limit, DefaultDeadline where the
+	// caller sets no timeout.
 	MaxBodyBytes    int64
 	DefaultDeadline time.Duration
 }
@@ -55,21 +57,23 @@
 // Server answers callers. It is safe for concurrent use.
 type Server struct {
 	Deps
+	// open counts the requests in progress.
 	open atomic.Int64
 }
 
 // New returns a server.
 func New(d Deps) *Server { return &Server{Deps: d} }
 
-// Open returns the number of open requests.
+// Open returns the number of requests in progress.
 func (s *Server) Open() int64 { return s.open.Load() }
 
-// Handler returns the handler of callers' requests. It takes every path as it
-// is: a mux would redirect some.
+// Handler returns the handler for callers' requests. It is not a mux, which would redirect
+// paths that are not clean: every path is used as it came.
 func (s *Server) Handler() http.Handler {
 	return alice.New(s.countOpen, s.closeWhenStopping, s.recoverPanic).ThenFunc(s.serve)
 }
 
+// countOpen counts the requests in progress.
 func (s *Server) countOpen(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		s.Metrics.Open.Update(float64(s.open.Add(1)))
@@ -78,7 +82,8 @@
 	})
 }
 
-// closeWhenStopping asks callers to connect elsewhere for their next request.
+// closeWhenStopping makes callers open a new connection, to another host, for their next
+// request while this host is stopping.
 func (s *Server) closeWhenStopping(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if s.Closing() {
@@ -88,17 +93,18 @@
 	})
 }
 
+// recoverPanic logs a handler's panic and aborts the connection.
 func (s *Server) recoverPanic(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		defer func() {
-			p := recover()
-			if p == nil {
+			recovered := recover()
+			if recovered == nil {
 				return
 			}
-			if p != http.ErrAbortHandler {
-				s.Log.WithField("panic", p).Error("request handler panicked")
+			if recovered != http.ErrAbortHandler {
+				s.Log.WithField("panic", recovered).Error("request handler panicked")
 			}
-			// Ends the connection: what was written may be half an answer.
+			// Aborts the connection, because the answer may be incomplete.
 			panic(http.ErrAbortHandler)
 		}()
 		next.ServeHTTP(w, r)
@@ -116,15 +122,15 @@
 	})
 }
 
-// DirectoryHandler tells callers which hosts to use.
+// DirectoryHandler answers callers with the addresses of the hosts to use.
 func (s *Server) DirectoryHandler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != platform.PathDirectory {
 			w.WriteHeader(http.StatusNotFound)
 			return
 		}
-		question := platform.DecodeDirectory(r)
-		addresses := s.Directory(question.AvailabilityZone)
+		query := platform.DecodeDirectory(r)
+		addresses := s.Directory(query.AvailabilityZone)
 		if len(addresses) == 0 {
 			writeError(w, errkind.New(errkind.NotReady, "no entry host is ready"))
 			return
