--- a/internal/cachesync/follower.go
+++ b/internal/cachesync/follower.go
@@ -1,6 +1,6 @@
-// Package cachesync keeps the prefix index in step with what the holders of KV
-// cache, replicas and stores, say of themselves: it reads their cache events, and
-// lists what they hold where events are missing.
+// Package cachesync keeps the prefix index up to date with what the holders of KV cache, which
+// are replicas and KV cache stores, hold. It polls their cache events, and reads a full list from
+// a holder when events were lost.
 package cachesync
 
 import (
@@ -16,25 +16,26 @@
 )
 
 const (
-	// eventsWait is how long a call for cache events waits; calls under 200 ms are
-	// dear.
-	eventsWait = 900 * time.Millisecond
-	// backlog is the number of events in one answer from which more are thought to
-	// wait: a busy replica makes some fifty a second, and answers hold up to five
-	// hundred. A host that starts then reads a replica's history in some twenty
-	// milliseconds in place of half a second, in which it would send prompts where
-	// they have to be read again.
-	backlog = 200
-	// retryPause follows a failed call.
-	retryPause = 400 * time.Millisecond
-	// listPause is the shortest time between two lists of one holder: a list stalls
-	// its work.
-	listPause = 3 * time.Second
-	// behindAfter is the time since the last answer after which as much may wait as for a host
-	// that starts: after a cut or a suspension all holders are read anew at once.
-	behindAfter = 2 * eventsWait
-	// confirmWithin is how long after its reading an event must tell of a part.
-	confirmWithin = 1500 * time.Millisecond
+	// eventsPollTimeout is how long a holder without new events keeps a call for them open.
+	// Calls that wait for less than 200 ms are expensive.
+	eventsPollTimeout = 900 * time.Millisecond
+	// backlogThreshold is the number of events in one answer at which more are assumed to be
+	// waiting, so that the next call follows at once. A busy replica produces some fifty events
+	// a second, and an answer holds up to five hundred. A host that starts thus reads a
+	// replica's backlog in some twenty milliseconds instead of half a second, during which it
+	// would send prompts to replicas that have to recompute their prefill.
+	backlogThreshold = 200
+	// retryDelay is the pause after a failed call.
+	retryDelay = 400 * time.Millisecond
+	// minListInterval is the minimum time between two lists from one holder, because answering
+	// one stalls its work.
+	minListInterval = 3 * time.Second
+	// behindThreshold is the time since the last answer after which as many events may be
+	// waiting as for a host that starts: after a network partition or a suspension of the host,
+	// all holders are read again at the same time.
+	behindThreshold = 2 * eventsPollTimeout
+	// confirmTimeout is how long after its prefill a cache event must confirm a prefix block.
+	confirmTimeout = 1500 * time.Millisecond
 )
 
 // Engine calls holders of KV cache. platform.Engines implements it.
@@ -48,59 +49,61 @@
 	// Name is its name in the index: a replica's ID, or a store's address.
 	Name    string
 	Address string
-	// Started tells the starts of one name apart; what was read of an earlier one
-	// does not count. 0 where the holder does not say.
+	// Started distinguishes the incarnations of a holder: what was read from an earlier one is
+	// not valid for the next. It is 0 if the holder does not report it.
 	Started int64
-	// Capacity is its memory in tokens.
+	// Capacity is the size of its KV cache in tokens.
 	Capacity int
-	// Store is set for stores of kept KV cache.
+	// Store is set for KV cache stores.
 	Store bool
 }
 
-// Follower follows one holder.
+// Follower polls one holder's cache events and applies them to the index.
 type Follower struct {
 	Engine Engine
 	Index  *prefix.Index
 	Holder Holder
 	Log    *logrus.Logger
-	// Budget is what this host may read in bulk.
+	// Budget bounds this host's bulk reads.
 	Budget *bandwidth.Budget
-	// Gap returns the pause between two calls at a busy holder.
+	// Gap returns the pause between two calls to a holder.
 	Gap func() time.Duration
-	// Backoff returns for how long the holder wants no calls from this host; it may be nil.
+	// Backoff returns for how much longer the holder has asked this host not to call it. It may
+	// be nil.
 	Backoff func() time.Duration
-	// NoLists keeps the follower from listing what the holder holds.
+	// NoLists turns off lists: after lost events, what the index has of the holder is cleared.
 	NoLists bool
-	// Up is told whether the holder answers, after each call.
+	// Up is called after each call for events, with nil if the holder answered.
 	Up func(err error)
 
-	// epoch is the holder's start that next belongs to; next is the position from
-	// which events are still to be read.
-	epoch  int64
-	next   int64
-	listed time.Time
-	// more is set while more events wait than one answer holds; answered is when the last
-	// answer came.
-	more     bool
-	answered time.Time
+	// epoch is the incarnation of the holder that next belongs to; next is the position of the
+	// first event that has not been read.
+	epoch int64
+	next  int64
+	// lastList is when the holder was last listed.
+	lastList time.Time
+	// hasMore is set while events are assumed to be waiting beyond the last answer, which came at
+	// lastAnswer.
+	hasMore    bool
+	lastAnswer time.Time
 }
 
-// Run follows the holder until ctx ends.
+// Run polls the holder until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		clock.Sleep(ctx, f.step(ctx))
+		clock.Sleep(ctx, f.poll(ctx))
 	}
 }
 
-// step reads once and returns how long to wait before the next read.
-func (f *Follower) step(ctx context.Context) time.Duration {
-	end := f.admit(ctx)
-	// The holder may have asked for a pause while the call waited for the link.
+// poll makes one call for events and returns how long to wait before the next.
+func (f *Follower) poll(ctx context.Context) time.Duration {
+	end := f.acquireBudget(ctx)
+	// The holder may have asked for a backoff while the call waited for the budget.
 	if backoff := f.backoff(); backoff > 0 {
 		end()
 		return backoff
 	}
-	events, err := f.Engine.CacheEvents(ctx, f.Holder.Address, f.next, eventsWait)
+	events, err := f.Engine.CacheEvents(ctx, f.Holder.Address, f.next, eventsPollTimeout)
 	f.Budget.Spend(events.Bytes)
 	end()
 	if ctx.Err() != nil {
@@ -108,47 +111,50 @@
 	}
 	f.Up(err)
 	if err != nil {
-		return retryPause
+		return retryDelay
 	}
-	f.answered = clock.Now()
-	f.more = len(events.Events) >= backlog
+	f.lastAnswer = clock.Now()
+	f.hasMore = len(events.Events) >= backlogThreshold
 	if f.epoch != 0 && events.Epoch != f.epoch {
-		f.line().Info("holder of KV cache restarted; what it held is forgotten")
+		f.logger().Info("holder of KV cache restarted; what it held is forgotten")
 		f.Index.Clear(f.Holder.Name)
-		f.epoch, f.next, f.more = events.Epoch, 0, true
+		f.epoch, f.next, f.hasMore = events.Epoch, 0, true
 		return 0
 	}
 	f.epoch = events.Epoch
-	if events.Lost && !f.NoLists && f.list(ctx) {
+	if events.Lost && !f.NoLists && f.listHeld(ctx) {
 		return 0
 	}
 	if events.Lost {
-		// Removals may be among what is missing: only what is told again counts.
-		f.line().Info("cache events were lost; what was held is forgotten")
+		// The lost events may include removals, so that only blocks in later events count as
+		// held.
+		f.logger().Info("cache events were lost; what was held is forgotten")
 		f.Index.Clear(f.Holder.Name)
 	}
 	for _, ev := range events.Events {
-		f.take(ev.HeldPart)
+		f.record(ev.HeldPart)
 	}
 	f.next = events.Next
-	if f.more {
+	if f.hasMore {
 		return 0
 	}
 	if !f.Holder.Store {
-		f.Index.Unconfirmed(f.Holder.Name, clock.Now().Add(-confirmWithin))
+		f.Index.Unconfirmed(f.Holder.Name, clock.Now().Add(-confirmTimeout))
 	}
 	return f.Gap()
 }
 
-// admit waits until the link has room for a call, and returns what to call at its end.
-func (f *Follower) admit(ctx context.Context) (end func()) {
-	if f.more || clock.Now().Sub(f.answered) > behindAfter {
+// acquireBudget waits until the budget has room for a call. The returned function must be called
+// when the call has ended. A call that may return many events counts as a bulk read.
+func (f *Follower) acquireBudget(ctx context.Context) (end func()) {
+	if f.hasMore || clock.Now().Sub(f.lastAnswer) > behindThreshold {
 		return f.Budget.Begin(ctx)
 	}
 	f.Budget.Wait(ctx)
 	return func() {}
 }
 
+// backoff returns for how much longer the holder is not to be called.
 func (f *Follower) backoff() time.Duration {
 	if f.Backoff == nil {
 		return 0
@@ -156,36 +162,38 @@
 	return f.Backoff()
 }
 
-// list takes everything that the holder holds. It reports whether the next step goes on from
-// there, or is to try again.
-func (f *Follower) list(ctx context.Context) bool {
+// listHeld replaces what the index has of the holder by a full list. It returns false if the last
+// list was too recent or the call failed. It returns true after a list, from which the next poll
+// continues, and also if the holder asked for a backoff, after which the next poll tries again.
+func (f *Follower) listHeld(ctx context.Context) bool {
 	now := clock.Now()
-	if !f.listed.IsZero() && now.Sub(f.listed) < listPause {
+	if !f.lastList.IsZero() && now.Sub(f.lastList) < minListInterval {
 		return false
 	}
 	defer f.Budget.Begin(ctx)()
 	if f.backoff() > 0 {
-		// After the pause the same events tell of the gap again.
+		// After the backoff, the next answer reports the lost events again.
 		return true
 	}
-	f.listed = now
+	f.lastList = now
 	list, err := f.Engine.CacheList(ctx, f.Holder.Address)
 	f.Budget.Spend(list.Bytes)
 	if err != nil {
-		f.line().WithError(err).Info("what a holder of KV cache holds was not listed")
+		f.logger().WithError(err).Info("what a holder of KV cache holds was not listed")
 		return false
 	}
 	f.Index.Clear(f.Holder.Name)
 	for _, held := range list.Held {
-		f.take(held)
+		f.record(held)
 	}
 	f.epoch, f.next = list.Epoch, list.Next
-	f.line().WithFields(logrus.Fields{"parts": len(list.Held), "next": list.Next}).Info("cache events were lost; what is held was listed")
+	f.logger().WithFields(logrus.Fields{"parts": len(list.Held), "next": list.Next}).Info("cache events were lost; what is held was listed")
 	return true
 }
 
-func (f *Follower) take(held platform.HeldPart) {
+// record records in the index what the holder holds of a prefix block.
+func (f *Follower) record(held platform.HeldPart) {
 	f.Index.Stored(f.Holder.Name, prefix.HashOf(held.Salt, held.Part), held.Tokens, f.Holder.Capacity, clock.Now())
 }
 
-func (f *Follower) line() *logrus.Entry { return f.Log.WithField("holder", f.Holder.Name) }
+func (f *Follower) logger() *logrus.Entry { return f.Log.WithField("holder", f.Holder.Name) }
--- a/internal/cachesync/follower_test.go
+++ b/internal/cachesync/follower_test.go
@@ -16,37 +16,38 @@
 	"github.com/briarlink/briarlink/platform"
 )
 
-// pageEvents is the most that one answer of the stand-in holds.
+// pageEvents is the maximum number of events in one answer of a fakeHolder.
 const pageEvents = 500
 
-// history is a holder with a past: it keeps the newest kept of its events.
-type history struct {
+// fakeHolder is a holder that retains only its newest events.
+type fakeHolder struct {
 	mu     sync.Mutex
 	epoch  int64
 	events []platform.CacheEvent
-	kept   int
-	// listable is whether it answers lists.
+	// retained is the number of events that it retains.
+	retained int
+	// listable is whether calls for lists succeed.
 	listable     bool
 	calls, lists int
 }
 
-// newHistory returns a holder that has taken so many parts.
-func newHistory(parts int) *history {
-	h := &history{epoch: 1, kept: 4 * pageEvents, listable: true}
-	for i := range parts {
-		h.events = append(h.events, stored(name(i)))
+// newFakeHolder returns a holder that holds the given number of prefix blocks.
+func newFakeHolder(blocks int) *fakeHolder {
+	h := &fakeHolder{epoch: 1, retained: 4 * pageEvents, listable: true}
+	for i := range blocks {
+		h.events = append(h.events, storedEvent(blockName(i)))
 	}
 	return h
 }
 
-// stored is the event of a part that is now held.
-func stored(part string) platform.CacheEvent {
-	return platform.CacheEvent{HeldPart: platform.HeldPart{Salt: "s", Part: part, Tokens: 100}}
+// storedEvent returns the event of a prefix block that is now held.
+func storedEvent(block string) platform.CacheEvent {
+	return platform.CacheEvent{HeldPart: platform.HeldPart{Salt: "s", Part: block, Tokens: 100}}
 }
 
-func name(i int) string { return fmt.Sprintf("p%d", i) }
+func blockName(i int) string { return fmt.Sprintf("p%d", i) }
 
-func (h *history) CacheEvents(ctx context.Context, _ string, since int64, wait time.Duration) (platform.CacheEvents, error) {
+func (h *fakeHolder) CacheEvents(ctx context.Context, _ string, since int64, wait time.Duration) (platform.CacheEvents, error) {
 	out := h.page(since)
 	d := 2 * time.Millisecond
 	if len(out.Events) == 0 {
@@ -59,20 +60,21 @@
 	return out, nil
 }
 
-func (h *history) page(since int64) platform.CacheEvents {
+// page returns the answer to a call for events.
+func (h *fakeHolder) page(since int64) platform.CacheEvents {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.calls++
-	first := max(0, len(h.events)-h.kept)
+	first := max(0, len(h.events)-h.retained)
 	out := platform.CacheEvents{Epoch: h.epoch, Lost: int(since) < first}
-	from := min(max(int(since), first), len(h.events))
-	to := min(len(h.events), from+pageEvents)
-	out.Next = int64(to)
-	out.Events = append(out.Events, h.events[from:to]...)
+	start := min(max(int(since), first), len(h.events))
+	end := min(len(h.events), start+pageEvents)
+	out.Next = int64(end)
+	out.Events = append(out.Events, h.events[start:end]...)
 	return out
 }
 
-func (h *history) CacheList(context.Context, string) (platform.CacheList, error) {
+func (h *fakeHolder) CacheList(context.Context, string) (platform.CacheList, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.lists++
@@ -86,9 +88,9 @@
 	return out, nil
 }
 
-// follow follows a holder for a while in virtual time and returns how many of its
-// parts the index holds then.
-func follow(t *testing.T, h *history, d time.Duration, during func(*history)) int {
+// followFor follows a holder for d in virtual time, with a call of during half-way, and returns
+// how many of the holder's prefix blocks the index has then.
+func followFor(t *testing.T, h *fakeHolder, d time.Duration, during func(*fakeHolder)) int {
 	t.Helper()
 	found := 0
 	synctest.Test(t, func(t *testing.T) {
@@ -111,7 +113,7 @@
 		<-ctx.Done()
 		synctest.Wait()
 		for i := range h.events {
-			p := prefix.Prompt{Parts: []prefix.Hash{prefix.HashOf("s", name(i))}, Tokens: []int{100}}
+			p := prefix.Prompt{Parts: []prefix.Hash{prefix.HashOf("s", blockName(i))}, Tokens: []int{100}}
 			if held, _ := index.Held("r", p, time.Now()); held == 100 {
 				found++
 			}
@@ -120,69 +122,71 @@
 	return found
 }
 
-// TestHistoryIsReadAtOnce: all hosts lost power and start again among replicas
-// that hold some two thousand parts. What a host has not read yet it has read
-// again, so that the whole history must be known before the first callers come: a
-// tenth of a second. With a pause between the answers it took half a second.
-func TestHistoryIsReadAtOnce(t *testing.T) {
-	if found := follow(t, newHistory(1800), 50*time.Millisecond, nil); found != 1800 {
-		t.Errorf("%d of 1800 parts were found", found)
+// TestBacklogIsReadWithoutPauses: after a power loss all hosts start again among replicas that
+// hold some two thousand prefix blocks each. Blocks that a host has not read about yet are
+// recomputed, so that it must have read all events before the first callers come: within a tenth
+// of a second. With a pause between the calls it took half a second.
+func TestBacklogIsReadWithoutPauses(t *testing.T) {
+	if found := followFor(t, newFakeHolder(1800), 50*time.Millisecond, nil); found != 1800 {
+		t.Errorf("%d of 1800 blocks were found", found)
 	}
 }
 
-// TestBusyHolderIsNotPressed: a few events an answer are no backlog.
-func TestBusyHolderIsNotPressed(t *testing.T) {
-	h := newHistory(1)
-	follow(t, h, time.Second, func(h *history) {
-		h.events = append(h.events, stored(name(1)))
+// TestFewEventsAreNoBacklog: after an answer with few events the follower pauses before the next
+// call.
+func TestFewEventsAreNoBacklog(t *testing.T) {
+	h := newFakeHolder(1)
+	followFor(t, h, time.Second, func(h *fakeHolder) {
+		h.events = append(h.events, storedEvent(blockName(1)))
 	})
 	if h.calls > 3 {
 		t.Errorf("%d calls in a second", h.calls)
 	}
 }
 
-// TestMissingEventsAreListed: a store keeps fewer events than it holds parts, and
-// replicas lose theirs. Forgetting what was held would have it read again.
-func TestMissingEventsAreListed(t *testing.T) {
-	h := newHistory(1800)
-	h.kept = pageEvents
-	if found := follow(t, h, 100*time.Millisecond, nil); found != 1800 || h.lists != 1 {
-		t.Errorf("%d of 1800 parts were found, %d lists", found, h.lists)
+// TestLostEventsTriggerAList: a store retains fewer events than it holds prefix blocks, and
+// replicas lose events. If the index were only cleared, those blocks would be recomputed.
+func TestLostEventsTriggerAList(t *testing.T) {
+	h := newFakeHolder(1800)
+	h.retained = pageEvents
+	if found := followFor(t, h, 100*time.Millisecond, nil); found != 1800 || h.lists != 1 {
+		t.Errorf("%d of 1800 blocks were found, %d lists", found, h.lists)
 	}
 }
 
-// TestListsAreRare: a holder that loses events again and again is listed once in
-// listPause, and otherwise only what it tells anew counts.
-func TestListsAreRare(t *testing.T) {
-	h := newHistory(1800)
-	h.kept = pageEvents
-	follow(t, h, 2*time.Second, func(h *history) {
+// TestListsAreRateLimited: a holder that keeps losing events is listed once per minListInterval.
+// In between, only blocks in its new events count as held.
+func TestListsAreRateLimited(t *testing.T) {
+	h := newFakeHolder(1800)
+	h.retained = pageEvents
+	followFor(t, h, 2*time.Second, func(h *fakeHolder) {
 		for i := range 1000 {
-			h.events = append(h.events, stored(name(1800+i)))
+			h.events = append(h.events, storedEvent(blockName(1800+i)))
 		}
 	})
 	if h.lists != 1 {
-		t.Errorf("%d lists within %v", h.lists, listPause)
+		t.Errorf("%d lists within %v", h.lists, minListInterval)
 	}
 }
 
-// TestWithoutAListOnlyWhatIsToldCounts: removals may be among what is missing.
-func TestWithoutAListOnlyWhatIsToldCounts(t *testing.T) {
-	h := newHistory(1800)
-	h.kept, h.listable = pageEvents, false
-	if found := follow(t, h, 100*time.Millisecond, nil); found != pageEvents {
-		t.Errorf("%d parts were found, %d were told", found, pageEvents)
+// TestLostEventsWithoutAListClearTheIndex: the lost events may include removals, so that only
+// blocks in later events count as held.
+func TestLostEventsWithoutAListClearTheIndex(t *testing.T) {
+	h := newFakeHolder(1800)
+	h.retained, h.listable = pageEvents, false
+	if found := followFor(t, h, 100*time.Millisecond, nil); found != pageEvents {
+		t.Errorf("%d blocks were found, want the %d in the events", found, pageEvents)
 	}
 }
 
-// TestRestartForgets what the holder held.
-func TestRestartForgets(t *testing.T) {
-	h := newHistory(100)
-	found := follow(t, h, 4*time.Second, func(h *history) {
+// TestRestartClearsTheIndex: a new incarnation of a holder does not hold what the earlier one held.
+func TestRestartClearsTheIndex(t *testing.T) {
+	h := newFakeHolder(100)
+	found := followFor(t, h, 4*time.Second, func(h *fakeHolder) {
 		h.epoch = 2
 		h.events = h.events[:1]
 	})
 	if found != 1 {
-		t.Errorf("%d parts are known of a holder that holds one", found)
+		t.Errorf("%d blocks were found for a holder that holds one", found)
 	}
 }
--- a/internal/cachesync/link_test.go
+++ b/internal/cachesync/link_test.go
@@ -19,102 +19,108 @@
 )
 
 const (
-	// slowLink and fastLink are the links of small and large hosts, in Mbit/s.
+	// slowLink and fastLink are the link speeds of small and large hosts in Mbit/s.
 	slowLink, fastLink = 10, 200
-	// eventBytes is the size of an event in an answer.
+	// eventBytes is the size of one event in an answer.
 	eventBytes = 60
-	// longestQueue is how long a packet may wait on the link: half of the shortest time after
-	// which a connection is given up.
-	longestQueue = 250 * time.Millisecond
+	// maxQueueDelay is the maximum time that a packet may wait for the link: half of the
+	// shortest timeout of a connection.
+	maxQueueDelay = 250 * time.Millisecond
 )
 
-// link carries answers one after the other, in virtual time.
+// link simulates a network link that transmits answers one after the other in virtual time.
 type link struct {
-	mu    sync.Mutex
-	mbps  float64
-	free  time.Time
-	worst time.Duration
+	mu   sync.Mutex
+	mbps float64
+	// freeAt is when everything queued has been transmitted.
+	freeAt time.Time
+	// maxWait is the longest time that a packet has waited for the link.
+	maxWait time.Duration
 }
 
-// carry returns how long it takes until so many bytes have arrived.
-func (l *link) carry(bytes int) time.Duration {
+// transmit queues a packet and returns how long it takes until it has arrived.
+func (l *link) transmit(bytes int) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
-	if l.free.Before(now) {
-		l.free = now
+	if l.freeAt.Before(now) {
+		l.freeAt = now
 	}
-	l.worst = max(l.worst, l.free.Sub(now))
-	l.free = l.free.Add(time.Duration(float64(bytes) * 8e3 / l.mbps))
-	return l.free.Sub(now)
+	l.maxWait = max(l.maxWait, l.freeAt.Sub(now))
+	l.freeAt = l.freeAt.Add(time.Duration(float64(bytes) * 8e3 / l.mbps))
+	return l.freeAt.Sub(now)
 }
 
-// longest returns the longest wait of a packet so far.
-func (l *link) longest() time.Duration {
+// longestWait returns the longest time that a packet has waited for the link so far.
+func (l *link) longestWait() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.worst
+	return l.maxWait
 }
 
-// distant is a holder at the other end of a link.
-type distant struct {
-	*history
+// remoteHolder is a holder at the other end of a link.
+type remoteHolder struct {
+	*fakeHolder
 	link *link
-	// cut is set while nothing passes.
-	cut *atomic.Bool
+	// partitioned is set while nothing passes the link.
+	partitioned *atomic.Bool
 }
 
-func (d distant) CacheEvents(_ context.Context, _ string, since int64, wait time.Duration) (platform.CacheEvents, error) {
-	if d.cut.Load() {
+func (r remoteHolder) CacheEvents(_ context.Context, _ string, since int64, wait time.Duration) (platform.CacheEvents, error) {
+	if r.partitioned.Load() {
 		time.Sleep(wait + time.Second)
 		return platform.CacheEvents{}, errors.New("timeout")
 	}
-	out := d.page(since)
+	out := r.page(since)
 	out.Bytes = eventBytes * len(out.Events)
 	if len(out.Events) == 0 {
 		time.Sleep(wait)
 	}
-	time.Sleep(d.link.carry(out.Bytes))
+	time.Sleep(r.link.transmit(out.Bytes))
 	return out, nil
 }
 
-// holders are many holders behind the link of one host, which follows them.
-type holders struct {
-	link  *link
-	cut   atomic.Bool
-	parts []*history
-	index *prefix.Index
+// remoteHolders are the holders that one host follows over its link.
+type remoteHolders struct {
+	link        *link
+	partitioned atomic.Bool
+	fakes       []*fakeHolder
+	index       *prefix.Index
 }
 
-func newHolders(n, parts int, mbps float64) *holders {
-	h := &holders{link: &link{mbps: mbps}, index: prefix.NewIndex()}
+func newRemoteHolders(n, blocks int, mbps float64) *remoteHolders {
+	h := &remoteHolders{link: &link{mbps: mbps}, index: prefix.NewIndex()}
 	for range n {
-		h.parts = append(h.parts, newHistory(parts))
+		h.fakes = append(h.fakes, newFakeHolder(blocks))
 	}
 	return h
 }
 
-func (h *holders) at(i int) distant { return distant{h.parts[i], h.link, &h.cut} }
+// at returns the holder with an index.
+func (h *remoteHolders) at(i int) remoteHolder {
+	return remoteHolder{h.fakes[i], h.link, &h.partitioned}
+}
 
-// CacheEvents implements Engine for a survey of all.
-func (h *holders) CacheEvents(ctx context.Context, address string, since int64, wait time.Duration) (platform.CacheEvents, error) {
+// CacheEvents implements Engine for a Survey of all holders.
+func (h *remoteHolders) CacheEvents(ctx context.Context, address string, since int64, wait time.Duration) (platform.CacheEvents, error) {
 	var i int
 	fmt.Sscanf(address, "r%d", &i)
 	return h.at(i).CacheEvents(ctx, address, since, wait)
 }
 
-func (h *holders) CacheList(context.Context, string) (platform.CacheList, error) {
+func (h *remoteHolders) CacheList(context.Context, string) (platform.CacheList, error) {
 	return platform.CacheList{}, errors.New("busy")
 }
 
-func (h *holders) holder(i int) Holder {
+func (h *remoteHolders) holder(i int) Holder {
 	return Holder{Name: fmt.Sprint("r", i), Address: fmt.Sprint("r", i), Capacity: 1 << 30}
 }
 
-func (h *holders) follow(ctx context.Context, budget *bandwidth.Budget) {
+// follow starts a Follower for each holder.
+func (h *remoteHolders) follow(ctx context.Context, budget *bandwidth.Budget) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	for i := range h.parts {
+	for i := range h.fakes {
 		f := &Follower{
 			Engine: h.at(i), Index: h.index, Holder: h.holder(i), Log: log, Budget: budget,
 			Gap: func() time.Duration { return 100 * time.Millisecond }, Up: func(error) {},
@@ -123,20 +129,20 @@
 	}
 }
 
-// ping sends small packets beside, until ctx ends.
-func (h *holders) ping(ctx context.Context) {
+// ping keeps sending small packets over the link until ctx ends.
+func (h *remoteHolders) ping(ctx context.Context) {
 	for ctx.Err() == nil {
-		h.link.carry(100)
+		h.link.transmit(100)
 		time.Sleep(25 * time.Millisecond)
 	}
 }
 
-// known reports whether all that the holders hold is known.
-func (h *holders) known() bool {
-	for i, parts := range h.parts {
-		parts.mu.Lock()
-		events := len(parts.events)
-		parts.mu.Unlock()
+// allIndexed reports whether the index has everything that the holders hold.
+func (h *remoteHolders) allIndexed() bool {
+	for i, fake := range h.fakes {
+		fake.mu.Lock()
+		events := len(fake.events)
+		fake.mu.Unlock()
 		if h.index.Tokens(h.holder(i).Name) != 100*events {
 			return false
 		}
@@ -144,27 +150,28 @@
 	return true
 }
 
-// read waits until everything is known and returns how long that took.
-func (h *holders) read(limit time.Duration) time.Duration {
+// waitAllIndexed waits until the index has everything, for at most limit, and returns how long
+// that took.
+func (h *remoteHolders) waitAllIndexed(limit time.Duration) time.Duration {
 	began := time.Now()
-	for !h.known() && time.Since(began) < limit {
+	for !h.allIndexed() && time.Since(began) < limit {
 		time.Sleep(100 * time.Millisecond)
 	}
 	return time.Since(began)
 }
 
-// stop ends what runs in the bubble and waits until calls under way have ended.
+// stop ends the goroutines of the synctest bubble and waits until calls in progress have ended.
 func stop(cancel func()) {
 	cancel()
 	time.Sleep(10 * time.Second)
 	synctest.Wait()
 }
 
-// TestHistoriesLeaveRoomOnTheLink: a small host that begins to route read the histories of 45
-// replicas at once. For five seconds its connections to the store, to other hosts and to
-// servers timed out, and it had a configuration 3.4 s late. A large host must not wait for
-// what its link carries at once.
-func TestHistoriesLeaveRoomOnTheLink(t *testing.T) {
+// TestBacklogsLeaveRoomOnTheLink: a small host that begins to route read the event backlogs of 45
+// replicas at the same time. For five seconds its connections to the store, to other hosts and to
+// servers timed out, and it received a configuration 3.4 s late. A large host must not be slowed
+// down where its link has the capacity.
+func TestBacklogsLeaveRoomOnTheLink(t *testing.T) {
 	for _, c := range []struct {
 		mbps   float64
 		within time.Duration
@@ -172,72 +179,72 @@
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
 			defer stop(cancel)
-			h := newHolders(45, 1500, c.mbps)
+			h := newRemoteHolders(45, 1500, c.mbps)
 			h.follow(ctx, bandwidth.NewBudget(c.mbps))
 			go h.ping(ctx)
-			took := h.read(20 * time.Second)
-			if h.link.longest() > longestQueue || took > c.within {
-				t.Errorf("%g Mbit/s: packets waited %v, at most %v allowed; all was read after %v, %v allowed", c.mbps, h.link.longest(), longestQueue, took, c.within)
+			took := h.waitAllIndexed(20 * time.Second)
+			if h.link.longestWait() > maxQueueDelay || took > c.within {
+				t.Errorf("%g Mbit/s: packets waited %v, at most %v allowed; everything was read after %v, %v allowed", c.mbps, h.link.longestWait(), maxQueueDelay, took, c.within)
 			}
 		})
 	}
 }
 
-// TestEventsOfACutLeaveRoomOnTheLink: all holders have as much to tell at once when a host
-// comes back after a cut, though it had read their histories.
-func TestEventsOfACutLeaveRoomOnTheLink(t *testing.T) {
+// TestEventsAfterAPartitionLeaveRoomOnTheLink: when a network partition ends, all holders have a
+// backlog for the host at the same time, even though it had followed them before.
+func TestEventsAfterAPartitionLeaveRoomOnTheLink(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer stop(cancel)
-		h := newHolders(45, 0, slowLink)
+		h := newRemoteHolders(45, 0, slowLink)
 		h.follow(ctx, bandwidth.NewBudget(slowLink))
 		time.Sleep(5 * time.Second)
-		h.cut.Store(true)
+		h.partitioned.Store(true)
 		time.Sleep(6 * time.Second)
-		for _, parts := range h.parts {
-			parts.mu.Lock()
+		for _, fake := range h.fakes {
+			fake.mu.Lock()
 			for i := range pageEvents - 1 {
-				parts.events = append(parts.events, stored(name(i)))
+				fake.events = append(fake.events, storedEvent(blockName(i)))
 			}
-			parts.mu.Unlock()
+			fake.mu.Unlock()
 		}
-		h.cut.Store(false)
+		h.partitioned.Store(false)
 		go h.ping(ctx)
-		took := h.read(20 * time.Second)
-		if h.link.longest() > longestQueue || took > 8*time.Second {
-			t.Errorf("packets waited %v, at most %v allowed; all was read after %v", h.link.longest(), longestQueue, took)
+		took := h.waitAllIndexed(20 * time.Second)
+		if h.link.longestWait() > maxQueueDelay || took > 8*time.Second {
+			t.Errorf("packets waited %v, at most %v allowed; everything was read after %v", h.link.longestWait(), maxQueueDelay, took)
 		}
 	})
 }
 
-// TestSurveyLeavesRoomOnTheLink: a survey read full pages of 24 holders at once.
+// TestSurveyLeavesRoomOnTheLink: a survey read full pages from 24 holders at the same time.
 func TestSurveyLeavesRoomOnTheLink(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer stop(cancel)
-		h := newHolders(150, pageEvents, slowLink)
+		h := newRemoteHolders(150, pageEvents, slowLink)
 		log := logrus.New()
 		log.SetOutput(io.Discard)
 		s := Survey{Engine: h, Index: h.index, Log: log, Budget: bandwidth.NewBudget(slowLink), Found: func(string, prefix.Prompt) {}}
 		var all []Holder
-		for i := range h.parts {
+		for i := range h.fakes {
 			all = append(all, h.holder(i))
 		}
 		go h.ping(ctx)
 		s.Run(ctx, all)
-		if h.link.longest() > longestQueue || !h.known() {
-			t.Errorf("packets waited %v, at most %v allowed; all is known: %v", h.link.longest(), longestQueue, h.known())
+		if h.link.longestWait() > maxQueueDelay || !h.allIndexed() {
+			t.Errorf("packets waited %v, at most %v allowed; everything was read: %v", h.link.longestWait(), maxQueueDelay, h.allIndexed())
 		}
 	})
 }
 
-// TestPauseAskedForWhileTheLinkIsFull: a call that had waited for the link went to a holder
-// that had asked for a pause meanwhile.
-func TestPauseAskedForWhileTheLinkIsFull(t *testing.T) {
+// TestBackoffRequestedWhileTheLinkIsFull: a call that had waited for the link was sent although
+// the holder had asked for a backoff in the meantime.
+func TestBackoffRequestedWhileTheLinkIsFull(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer stop(cancel)
-		h := newHolders(1, 10, slowLink)
+		h := newRemoteHolders(1, 10, slowLink)
 		log := logrus.New()
 		log.SetOutput(io.Discard)
 		budget := bandwidth.NewBudget(slowLink)
@@ -256,14 +263,14 @@
 		go f.Run(ctx)
 		time.Sleep(time.Until(until) - time.Millisecond)
 		synctest.Wait()
-		h.parts[0].mu.Lock()
-		calls := h.parts[0].calls
-		h.parts[0].mu.Unlock()
+		h.fakes[0].mu.Lock()
+		calls := h.fakes[0].calls
+		h.fakes[0].mu.Unlock()
 		if calls > 0 {
-			t.Errorf("%d calls during the pause", calls)
+			t.Errorf("%d calls during the backoff", calls)
 		}
-		if h.read(time.Second); !h.known() {
-			t.Error("nothing is read after the pause")
+		if h.waitAllIndexed(time.Second); !h.allIndexed() {
+			t.Error("events were not read after the backoff")
 		}
 	})
 }
--- a/internal/cachesync/survey.go
+++ b/internal/cachesync/survey.go
@@ -15,53 +15,55 @@
 )
 
 const (
-	// surveyWait is how long a holder without events is asked to hold the call; calls under
-	// 200 ms are dear.
-	surveyWait = 200 * time.Millisecond
-	// surveyPause is the time between the calls of one host.
-	surveyPause = 15 * time.Millisecond
-	// surveyAtOnce bounds its calls that wait.
-	surveyAtOnce = 24
-	// surveyedPart is the least number of tokens of a part that other hosts are told of.
-	surveyedPart = 512
+	// surveyPollTimeout is how long a holder without events keeps the call open. Calls that
+	// wait for less than 200 ms are expensive.
+	surveyPollTimeout = 200 * time.Millisecond
+	// surveyInterval is the minimum time between the starts of two calls.
+	surveyInterval = 15 * time.Millisecond
+	// maxSurveyCalls bounds the concurrent calls.
+	maxSurveyCalls = 24
+	// minAnnouncedTokens is the minimum size of a prefix block that is announced to other hosts.
+	minAnnouncedTokens = 512
 )
 
-// Survey reads what holders keep once: in a fleet with more of them than its hosts can
-// follow, a host that starts would otherwise never know what was kept before.
+// Survey reads once what many holders hold. In a fleet with more holders than its hosts can
+// follow, a host that starts would otherwise never learn what they held before.
 type Survey struct {
 	Engine Engine
 	Index  *prefix.Index
 	Log    *logrus.Logger
-	// Budget is what this host may read in bulk.
+	// Budget bounds this host's bulk reads.
 	Budget *bandwidth.Budget
-	// Found is told of the large parts that a holder keeps.
+	// Found is called with the large prefix blocks of each holder that has some.
 	Found func(holder string, parts prefix.Prompt)
 }
 
-// Run reads the holders one after the other, until ctx ends.
+// Run reads each holder once, some of them concurrently, and returns early if ctx ends.
 func (s *Survey) Run(ctx context.Context, holders []Holder) {
-	free := make(chan struct{}, surveyAtOnce)
+	slots := make(chan struct{}, maxSurveyCalls)
 	var reads sync.WaitGroup
 	defer reads.Wait()
 	for _, h := range holders {
 		select {
 		case <-ctx.Done():
 			return
-		case free <- struct{}{}:
+		case slots <- struct{}{}:
 		}
 		reads.Go(func() {
-			defer func() { <-free }()
-			s.read(ctx, h)
+			defer func() { <-slots }()
+			s.readHolder(ctx, h)
 		})
-		clock.Sleep(ctx, surveyPause)
+		clock.Sleep(ctx, surveyInterval)
 	}
 	reads.Wait()
 	s.Log.WithField("holders", len(holders)).Info("what holders of KV cache keep was read")
 }
 
-func (s *Survey) read(ctx context.Context, h Holder) {
+// readHolder reads one page of a holder's events, records it in the index and announces the large
+// prefix blocks.
+func (s *Survey) readHolder(ctx context.Context, h Holder) {
 	defer s.Budget.Begin(ctx)()
-	events, err := s.Engine.CacheEvents(ctx, h.Address, 0, surveyWait)
+	events, err := s.Engine.CacheEvents(ctx, h.Address, 0, surveyPollTimeout)
 	s.Budget.Spend(events.Bytes)
 	if err != nil {
 		if ctx.Err() == nil {
@@ -71,21 +73,21 @@
 	}
 	large := map[prefix.Hash]int{}
 	for _, ev := range events.Events {
-		part := prefix.HashOf(ev.Salt, ev.Part)
-		s.Index.Stored(h.Name, part, ev.Tokens, h.Capacity, clock.Now())
-		if ev.Tokens >= surveyedPart {
-			large[part] = ev.Tokens
+		block := prefix.HashOf(ev.Salt, ev.Part)
+		s.Index.Stored(h.Name, block, ev.Tokens, h.Capacity, clock.Now())
+		if ev.Tokens >= minAnnouncedTokens {
+			large[block] = ev.Tokens
 		} else {
-			delete(large, part)
+			delete(large, block)
 		}
 	}
 	if len(large) == 0 {
 		return
 	}
-	var found prefix.Prompt
-	for _, part := range slices.Sorted(maps.Keys(large)) {
-		found.Parts = append(found.Parts, part)
-		found.Tokens = append(found.Tokens, large[part])
+	var announced prefix.Prompt
+	for _, block := range slices.Sorted(maps.Keys(large)) {
+		announced.Parts = append(announced.Parts, block)
+		announced.Tokens = append(announced.Tokens, large[block])
 	}
-	s.Found(h.Name, found)
+	s.Found(h.Name, announced)
 }
--- a/internal/cachesync/survey_test.go
+++ b/internal/cachesync/survey_test.go
@@ -15,35 +15,35 @@
 	"github.com/briarlink/briarlink/platform"
 )
 
-// fleet answers for many holders, of which one in ten holds a large and a small part; one
-// in seven does not answer.
-type fleet struct {
-	mu    sync.Mutex
-	calls map[string]int
-	open  int
-	most  int
+// fakeEngines answers for many holders. One in seven does not answer; of the others, one in ten
+// holds a large and a small prefix block.
+type fakeEngines struct {
+	mu            sync.Mutex
+	calls         map[string]int
+	concurrent    int
+	maxConcurrent int
 }
 
-func (f *fleet) CacheEvents(ctx context.Context, address string, _ int64, wait time.Duration) (platform.CacheEvents, error) {
+func (f *fakeEngines) CacheEvents(ctx context.Context, address string, _ int64, wait time.Duration) (platform.CacheEvents, error) {
 	var i int
 	fmt.Sscanf(address, "i-%d", &i)
 	f.mu.Lock()
 	f.calls[address]++
-	f.open++
-	f.most = max(f.most, f.open)
+	f.concurrent++
+	f.maxConcurrent = max(f.maxConcurrent, f.concurrent)
 	f.mu.Unlock()
 	defer func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		f.open--
+		f.concurrent--
 	}()
 	switch {
 	case i%7 == 0:
 		time.Sleep(time.Second)
 		return platform.CacheEvents{}, context.DeadlineExceeded
 	case i%10 == 0:
-		add := func(part string, tokens int) platform.CacheEvent {
-			return platform.CacheEvent{HeldPart: platform.HeldPart{Part: part, Tokens: tokens}}
+		add := func(block string, tokens int) platform.CacheEvent {
+			return platform.CacheEvent{HeldPart: platform.HeldPart{Part: block, Tokens: tokens}}
 		}
 		return platform.CacheEvents{Next: 4, Events: []platform.CacheEvent{
 			add("large", 13000), add("small", 50), add("dropped", 9000), add("dropped", 0),
@@ -54,13 +54,13 @@
 	}
 }
 
-func (f *fleet) CacheList(context.Context, string) (platform.CacheList, error) {
+func (f *fakeEngines) CacheList(context.Context, string) (platform.CacheList, error) {
 	return platform.CacheList{}, nil
 }
 
-// TestHostsThatStartLearnWhatIsHeld: each holder is read once, at a bounded pace whatever some
-// of them do, and others are told of the large parts alone.
-func TestHostsThatStartLearnWhatIsHeld(t *testing.T) {
+// TestSurveyReadsEachHolderOnce: each holder is read once, at a bounded rate even if some do not
+// answer, and only the large prefix blocks are announced.
+func TestSurveyReadsEachHolderOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const n = 160
 		var holders []Holder
@@ -70,33 +70,33 @@
 		}
 		log := logrus.New()
 		log.SetOutput(io.Discard)
-		engines := &fleet{calls: map[string]int{}}
+		engines := &fakeEngines{calls: map[string]int{}}
 		index := prefix.NewIndex()
 		var mu sync.Mutex
-		told := map[string]prefix.Prompt{}
-		s := Survey{Engine: engines, Index: index, Log: log, Found: func(holder string, parts prefix.Prompt) {
+		announced := map[string]prefix.Prompt{}
+		s := Survey{Engine: engines, Index: index, Log: log, Found: func(holder string, blocks prefix.Prompt) {
 			mu.Lock()
 			defer mu.Unlock()
-			told[holder] = parts
+			announced[holder] = blocks
 		}}
 		began := time.Now()
 		s.Run(t.Context(), holders)
-		if took := time.Since(began); took < n*surveyPause || took > 5*time.Second {
+		if took := time.Since(began); took < n*surveyInterval || took > 5*time.Second {
 			t.Errorf("%d holders read in %v", n, took)
 		}
-		if len(engines.calls) != n || engines.most > surveyAtOnce {
-			t.Errorf("%d holders were read, %d at once", len(engines.calls), engines.most)
+		if len(engines.calls) != n || engines.maxConcurrent > maxSurveyCalls {
+			t.Errorf("%d holders were read, %d at once", len(engines.calls), engines.maxConcurrent)
 		}
 		for i := range n {
 			name, want := fmt.Sprint("i-", i), i%10 == 0 && i%7 != 0
 			if engines.calls[name] != 1 {
 				t.Errorf("%s was read %d times", name, engines.calls[name])
 			}
-			if parts := told[name]; (len(parts.Parts) == 1 && parts.Tokens[0] == 13000) != want {
-				t.Errorf("%s: told of %v", name, parts)
+			if blocks := announced[name]; (len(blocks.Parts) == 1 && blocks.Tokens[0] == 13000) != want {
+				t.Errorf("%s: announced %v", name, blocks)
 			}
 			if got := index.Tokens(name); (got == 13050) != want {
-				t.Errorf("%s is thought to hold %d tokens", name, got)
+				t.Errorf("%s: the index has %d tokens", name, got)
 			}
 		}
 	})
