--- a/internal/oai/oai.go
+++ b/internal/oai/oai.go
@@ -1,6 +1,6 @@
-// Package oai reads OpenAI-compatible requests as far as routing needs them: the
-// model, and the parts of the prompt that other requests may share. Their bodies
-// are passed on unchanged.
+// Package oai extracts from OpenAI-compatible requests what routing needs: the model, sizes in
+// tokens, and the prefix blocks of the prompt that other requests may share. The bodies are
+// forwarded unchanged.
 package oai
 
 import (
@@ -15,10 +15,12 @@
 )
 
 const (
-	// partBytes is the size of a part: about the piece in which engines read.
-	partBytes = 2000
-	// bytesPerToken is the usual size of a token of English text.
-	bytesPerToken    = 4
+	// blockBytes is the size of a prefix block. It is about the size of the chunks in which
+	// engines prefill.
+	blockBytes = 2000
+	// bytesPerToken is the typical size of a token of English text.
+	bytesPerToken = 4
+	// defaultMaxTokens is assumed for a request without max_tokens.
 	defaultMaxTokens = 256
 )
 
@@ -35,13 +37,13 @@
 	Content string `json:"content"`
 }
 
-// Matches reports whether a path is that of an OpenAI-compatible call.
+// Matches reports whether a path is that of a supported OpenAI-compatible call.
 func Matches(path string) bool {
 	return strings.HasSuffix(path, "/v1/chat/completions") || strings.HasSuffix(path, "/v1/completions")
 }
 
-// Describe fills in model, parts and sizes from a body.
-func Describe(body []byte, into *platform.CallerRequest) error {
+// Describe fills in the model, prefix blocks and sizes from a request body.
+func Describe(body []byte, out *platform.CallerRequest) error {
 	req := request{MaxTokens: defaultMaxTokens}
 	if err := json.Unmarshal(body, &req); err != nil {
 		return errors.Wrap(err, "the body is not the expected JSON")
@@ -50,14 +52,14 @@
 		return errors.New("model is missing")
 	}
 	prompt := req.render()
-	into.Model = req.Model
-	into.Parts = parts(prompt)
-	into.PromptTokens = (len(prompt) + bytesPerToken - 1) / bytesPerToken
-	into.OutputTokens = max(0, req.MaxTokens)
+	out.Model = req.Model
+	out.Parts = splitBlocks(prompt)
+	out.PromptTokens = (len(prompt) + bytesPerToken - 1) / bytesPerToken
+	out.OutputTokens = max(0, req.MaxTokens)
 	return nil
 }
 
-// render returns the prompt as one text.
+// render returns the whole prompt as one text.
 func (r *request) render() string {
 	if len(r.Messages) == 0 {
 		return r.Prompt
@@ -69,17 +71,18 @@
 	return b.String()
 }
 
-// parts cuts a prompt; each part is named by a hash of all text up to its end.
-func parts(prompt string) []platform.Part {
-	var out []platform.Part
+// splitBlocks splits a prompt into prefix blocks. The ID of a block is a hash of all text up to
+// its end, so that equal IDs mean equal prefixes.
+func splitBlocks(prompt string) []platform.Part {
+	var blocks []platform.Part
 	hash := xxh3.New()
 	for len(prompt) > 0 {
-		n := min(partBytes, len(prompt))
-		// A hash in memory takes any bytes.
+		n := min(blockBytes, len(prompt))
+		// Writing to a hash never fails.
 		_, _ = hash.WriteString(prompt[:n])
 		sum := hash.Sum128().Bytes()
-		out = append(out, platform.Part{ID: hex.EncodeToString(sum[:8]), Tokens: (n + bytesPerToken - 1) / bytesPerToken})
+		blocks = append(blocks, platform.Part{ID: hex.EncodeToString(sum[:8]), Tokens: (n + bytesPerToken - 1) / bytesPerToken})
 		prompt = prompt[n:]
 	}
-	return out
+	return blocks
 }
--- a/internal/oai/oai_test.go
+++ b/internal/oai/oai_test.go
@@ -7,6 +7,7 @@
 	"github.com/briarlink/briarlink/platform"
 )
 
+// describe returns what Describe reads from a body.
 func describe(t *testing.T, body string) platform.CallerRequest {
 	t.Helper()
 	var r platform.CallerRequest
@@ -16,7 +17,9 @@
 	return r
 }
 
-func TestCommonBeginningsShareParts(t *testing.T) {
+// TestCommonPrefixesShareBlocks: prompts with the same beginning have the same blocks up to the
+// first difference.
+func TestCommonPrefixesShareBlocks(t *testing.T) {
 	long := strings.Repeat("history ", 1000)
 	a := describe(t, `{"model":"m","max_tokens":9,"prompt":"`+long+`first"}`)
 	b := describe(t, `{"model":"m","prompt":"`+long+`second question"}`)
@@ -25,11 +28,11 @@
 	}
 	for i := range 4 {
 		if a.Parts[i] != b.Parts[i] {
-			t.Errorf("part %d differs", i)
+			t.Errorf("block %d differs", i)
 		}
 	}
 	if a.Parts[4].ID == b.Parts[4].ID {
-		t.Error("different ends have the same part")
+		t.Error("different ends have the same block")
 	}
 }
 
@@ -41,6 +44,7 @@
 	}
 }
 
+// FuzzDescribe: no body gives a request without a model or with negative sizes.
 func FuzzDescribe(f *testing.F) {
 	f.Add([]byte(`{"model":"m","messages":[{"role":"user","content":"x"}]}`))
 	f.Add([]byte(`{"model":"m","max_tokens":-8,"prompt":"x"}`))
