--- a/internal/netdial/netdial.go
+++ b/internal/netdial/netdial.go
@@ -1,6 +1,6 @@
-// Package netdial makes the dialers of connections that are kept. An open
-// connection may fall silent for good, without a reset, while new ones work: a
-// read that waits on it would wait to its own end, up to half a minute.
+// Package netdial provides dialers for long-lived connections. An open connection may become
+// unresponsive for good, without a reset, while new ones work. Without keep-alive probes, a read
+// on it would wait for its own timeout, up to half a minute.
 package netdial
 
 import (
@@ -9,19 +9,20 @@
 )
 
 const (
-	// probeIdle is the silence after which the kernel probes a connection, and
-	// probeInterval and probes when it gives up: some 3 s after the last byte, as
-	// long as hosts may take to notice any other reset. A probe is a bare packet.
+	// probeIdle is how long a connection is idle before the kernel probes it.
+	// probeInterval and probeCount determine when it gives up: some 3 s after the last byte,
+	// which is as long as hosts may take to notice any other reset. A probe is a packet
+	// without data.
 	probeIdle     = time.Second
 	probeInterval = time.Second
-	probes        = 2
+	probeCount    = 2
 )
 
-// KeepAlive is how connections in both directions are probed.
-var KeepAlive = net.KeepAliveConfig{Enable: true, Idle: probeIdle, Interval: probeInterval, Count: probes}
+// KeepAlive configures the keep-alive probes of outgoing and accepted connections.
+var KeepAlive = net.KeepAliveConfig{Enable: true, Idle: probeIdle, Interval: probeInterval, Count: probeCount}
 
-// New returns a dialer that gives up after timeout and whose connections end when
-// they have fallen silent.
+// New returns a dialer that gives up after timeout. Its connections fail once they no longer
+// answer keep-alive probes.
 func New(timeout time.Duration) *net.Dialer {
 	return &net.Dialer{Timeout: timeout, KeepAliveConfig: KeepAlive}
 }
--- a/internal/netdial/netdial_test.go
+++ b/internal/netdial/netdial_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// TestConnectionsAreProbed: the kernel itself must notice a silent connection;
-// how it is told to is all that can be seen without cutting a network.
+// TestConnectionsAreProbed: the kernel must notice an unresponsive connection. Without partitioning
+// a network, the test can only check the socket options.
 func TestConnectionsAreProbed(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -24,7 +24,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var on, idle, interval, count int
+	var enabled, idle, interval, count int
 	option := func(fd uintptr, level, name int) int {
 		v, err := syscall.GetsockoptInt(int(fd), level, name)
 		if err != nil {
@@ -33,7 +33,7 @@
 		return v
 	}
 	err = raw.Control(func(fd uintptr) {
-		on = option(fd, syscall.SOL_SOCKET, syscall.SO_KEEPALIVE)
+		enabled = option(fd, syscall.SOL_SOCKET, syscall.SO_KEEPALIVE)
 		idle = option(fd, syscall.IPPROTO_TCP, syscall.TCP_KEEPIDLE)
 		interval = option(fd, syscall.IPPROTO_TCP, syscall.TCP_KEEPINTVL)
 		count = option(fd, syscall.IPPROTO_TCP, syscall.TCP_KEEPCNT)
@@ -41,7 +41,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if noticed := idle + interval*count; on == 0 || noticed > 3 {
-		t.Errorf("keep-alive %d: idle %d s, %d probes each %d s; want it noticed within 3 s", on, idle, count, interval)
+	if detection := idle + interval*count; enabled == 0 || detection > 3 {
+		t.Errorf("keep-alive %d: idle %d s, %d probes each %d s; want it noticed within 3 s", enabled, idle, count, interval)
 	}
 }
