--- a/internal/bandwidth/bandwidth.go
+++ b/internal/bandwidth/bandwidth.go
@@ -1,5 +1,5 @@
-// Package bandwidth keeps what a host reads or sends in bulk to a part of its link, so that
-// heartbeats, configurations, the lease and callers' answers find room beside it.
+// Package bandwidth limits a host's bulk transfers to a share of its link, so that heartbeats,
+// configurations, the lease and callers' answers are not delayed by them.
 package bandwidth
 
 import (
@@ -14,67 +14,69 @@
 )
 
 const (
-	// bulkShare of the link, in each direction, is for bulk transfers.
+	// bulkShare is the share of the link, in each direction, for bulk transfers.
 	bulkShare = 1.0 / 3
-	// maxQueued is how much bulk reads may have on their way at once, in time of the link:
-	// anything else waits behind it.
-	maxQueued = 50 * time.Millisecond
-	// usualRead is the usual size of a bulk read, in bytes.
-	usualRead = 32 << 10
-	// answerWait is how long a bulk read may go without an answer before another one may
-	// begin: a sender that has nothing to tell keeps the call waiting.
-	answerWait = 100 * time.Millisecond
-	bitsOfByte = 8
+	// maxQueueDelay bounds the bulk reads in flight, as the time that the link takes to carry
+	// them: other traffic may have to wait that long behind them.
+	maxQueueDelay = 50 * time.Millisecond
+	// typicalReadBytes is the typical size of a bulk read.
+	typicalReadBytes = 32 << 10
+	// unansweredTimeout is how long a read without an answer keeps another one from starting: a
+	// sender that has nothing to send holds the call open.
+	unansweredTimeout = 100 * time.Millisecond
+	bitsPerByte       = 8
 )
 
-// Budget bounds the bulk transfers of one host in one direction: Begin how many reads are on
-// their way at once, Wait, Spend and Afford how many bytes pass a second. A nil budget bounds no
+// Budget limits the bulk transfers of one host in one direction: Begin limits the number of
+// concurrent reads; Wait, Spend and Afford limit the bytes per second. A nil budget does not limit
 // reads. It is safe for concurrent use.
 type Budget struct {
-	reads *semaphore.Weighted
-	bytes *rate.Limiter
+	readSlots *semaphore.Weighted
+	byteRate  *rate.Limiter
+	// spent is the number of bytes spent so far.
 	spent atomic.Int64
 }
 
-// NewBudget returns the budget of a link of so many Mbit/s. One of unknown speed, 0, is not
-// bounded.
+// NewBudget returns the budget for a link with a speed in Mbit/s. A speed of 0 is unknown, and
+// the budget then sets no limits.
 func NewBudget(linkMbps float64) *Budget {
 	if linkMbps <= 0 {
-		return &Budget{reads: semaphore.NewWeighted(math.MaxInt64), bytes: rate.NewLimiter(rate.Inf, math.MaxInt32)}
+		return &Budget{readSlots: semaphore.NewWeighted(math.MaxInt64), byteRate: rate.NewLimiter(rate.Inf, math.MaxInt32)}
 	}
-	link := linkMbps * 1e6 / bitsOfByte
-	queued := link * maxQueued.Seconds()
+	bytesPerSecond := linkMbps * 1e6 / bitsPerByte
+	maxQueuedBytes := bytesPerSecond * maxQueueDelay.Seconds()
 	return &Budget{
-		reads: semaphore.NewWeighted(1 + int64(queued)/usualRead),
-		bytes: rate.NewLimiter(rate.Limit(link*bulkShare), 1+int(queued)),
+		readSlots: semaphore.NewWeighted(1 + int64(maxQueuedBytes)/typicalReadBytes),
+		byteRate:  rate.NewLimiter(rate.Limit(bytesPerSecond*bulkShare), 1+int(maxQueuedBytes)),
 	}
 }
 
-// Wait waits until what was read so far is paid for, or ctx ends.
+// Wait waits until the rate limit covers the bytes spent so far, or ctx ends.
 func (b *Budget) Wait(ctx context.Context) {
 	if b != nil {
-		// It fails only where ctx ends first, which the caller sees.
-		_ = b.bytes.Wait(ctx)
+		// It fails only if ctx ends first, which the caller checks itself.
+		_ = b.byteRate.Wait(ctx)
 	}
 }
 
-// Begin waits until a bulk read may begin, or ctx ends. The read's end must be told to the
-// function that it returns.
+// Begin waits until a bulk read may start, or ctx ends. The returned function must be called when
+// the read has ended. After unansweredTimeout the read no longer counts towards the concurrent
+// reads.
 func (b *Budget) Begin(ctx context.Context) (end func()) {
-	if b == nil || b.reads.Acquire(ctx, 1) != nil {
+	if b == nil || b.readSlots.Acquire(ctx, 1) != nil {
 		return func() {}
 	}
 	b.Wait(ctx)
-	release := sync.OnceFunc(func() { b.reads.Release(1) })
-	unanswered := time.AfterFunc(answerWait, release)
+	release := sync.OnceFunc(func() { b.readSlots.Release(1) })
+	releaseTimer := time.AfterFunc(unansweredTimeout, release)
 	return func() {
-		unanswered.Stop()
+		releaseTimer.Stop()
 		release()
 	}
 }
 
-// Spend takes the bytes of a read, which may be more than there is budget for: later reads
-// wait for them.
+// Spend charges the bytes of a transfer that has taken place. They may exceed the budget: later
+// transfers then wait until the rate limit covers them.
 func (b *Budget) Spend(bytes int) {
 	if b == nil {
 		return
@@ -82,21 +84,22 @@
 	b.spent.Add(int64(bytes))
 	now := time.Now()
 	for bytes > 0 {
-		n := min(bytes, b.bytes.Burst())
-		b.bytes.ReserveN(now, n)
-		bytes -= n
+		charge := min(bytes, b.byteRate.Burst())
+		b.byteRate.ReserveN(now, charge)
+		bytes -= charge
 	}
 }
 
-// Afford reports whether what was sent so far is paid for, and spends the bytes if so.
+// Afford reports whether the rate limit covers the bytes spent so far, and if so spends the given
+// bytes too.
 func (b *Budget) Afford(bytes int) bool {
-	if !b.bytes.AllowN(time.Now(), 1) {
+	if !b.byteRate.AllowN(time.Now(), 1) {
 		return false
 	}
-	// The first byte is spent already.
+	// AllowN has already spent the first byte.
 	b.Spend(bytes - 1)
 	return true
 }
 
-// Spent returns the bytes of all reads so far.
+// Spent returns the bytes spent so far.
 func (b *Budget) Spent() int64 { return b.spent.Load() }
--- a/internal/bandwidth/bandwidth_test.go
+++ b/internal/bandwidth/bandwidth_test.go
@@ -7,50 +7,50 @@
 	"time"
 )
 
-// TestSilentSendersDoNotHoldUpOthers: a replica that has just started keeps the call waiting;
-// the histories behind it must not wait as long.
-func TestSilentSendersDoNotHoldUpOthers(t *testing.T) {
+// TestUnansweredReadsDoNotBlockOthers: a replica that has just started holds the call for its events
+// open. The reads that wait behind it must not wait until that call ends.
+func TestUnansweredReadsDoNotBlockOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := NewBudget(10)
 		began := time.Now()
 		for range 10 {
 			defer b.Begin(t.Context())()
 		}
-		if took := time.Since(began); took < answerWait || took > 10*answerWait {
-			t.Errorf("ten silent reads began within %v", took)
+		if took := time.Since(began); took < unansweredTimeout || took > 10*unansweredTimeout {
+			t.Errorf("ten unanswered reads started within %v", took)
 		}
 	})
 }
 
-// TestBytesOfAllReadsAreSpent: reads larger than the budget are paid for by those after them.
-func TestBytesOfAllReadsAreSpent(t *testing.T) {
+// TestLargeReadsDelayLaterOnes: a read larger than the budget makes the reads after it wait.
+func TestLargeReadsDelayLaterOnes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := NewBudget(24)
 		b.Spend(4 << 20)
 		began := time.Now()
 		b.Wait(t.Context())
 		if took := time.Since(began); took < 4*time.Second || took > 5*time.Second || b.Spent() != 4<<20 {
-			t.Errorf("%d bytes are paid for after %v, want a megabyte a second", b.Spent(), took)
+			t.Errorf("%d bytes took %v, want a megabyte a second", b.Spent(), took)
 		}
 	})
 }
 
-// TestBudgetIsLeftAtTheEnd: a host that stops to route gives up reads that wait, and what they
-// held.
-func TestBudgetIsLeftAtTheEnd(t *testing.T) {
+// TestCancelledReadReleasesItsSlot: a host that stops routing cancels the reads that wait for the
+// budget, which must release their slots.
+func TestCancelledReadReleasesItsSlot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := NewBudget(1)
 		b.Spend(10 << 20)
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		b.Begin(ctx)()
-		if !b.reads.TryAcquire(1) {
-			t.Error("a read that was given up is still counted")
+		if !b.readSlots.TryAcquire(1) {
+			t.Error("a cancelled read still holds its slot")
 		}
 	})
 }
 
-// TestLinkOfUnknownSpeedIsNotBounded as it was before hosts were told of theirs.
+// TestLinkOfUnknownSpeedIsNotBounded: a host whose link speed is unknown reads without limits.
 func TestLinkOfUnknownSpeedIsNotBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := NewBudget(0)
