--- a/internal/bandwidth/bandwidth.go
+++ b/internal/bandwidth/bandwidth.go
@@ -75,8 +75,8 @@
 	}
 }
 
-// Spend charges the bytes of a transfer that has taken place. They may exceed the budget: later
-// transfers then wait until the rate limit covers them.
+// Spend charges the bytes of a transfer. They may exceed the budget: later transfers then wait
+// until the rate limit covers them.
 func (b *Budget) Spend(bytes int) {
 	if b == nil {
 		return
--- a/internal/bandwidth/bandwidth_test.go
+++ b/internal/bandwidth/bandwidth_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// TestUnansweredReadsDoNotBlockOthers: a replica that has just started holds the call for its events
-// open. The reads that wait behind it must not wait until that call ends.
+// TestUnansweredReadsDoNotBlockOthers: a replica that has just started holds the call for its
+// events open. The reads that wait behind it must not wait until that call ends.
 func TestUnansweredReadsDoNotBlockOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := NewBudget(10)
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -155,7 +155,8 @@
 	}
 }
 
-// TestMissingConfigurationAnswersUnavailable: without any configuration the host answers 503, not 404 or 401.
+// TestMissingConfigurationAnswersUnavailable: without any configuration the host answers 503, not
+// 404 or 401.
 func TestMissingConfigurationAnswersUnavailable(t *testing.T) {
 	f := newFixture(t)
 	f.view = View{}
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -82,8 +82,8 @@
 	})
 }
 
-// closeWhenStopping makes callers open a new connection, to another host, for their next
-// request while this host is stopping.
+// closeWhenStopping closes callers' connections after their answers while this host is stopping,
+// so that their next requests go to another host.
 func (s *Server) closeWhenStopping(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if s.Closing() {
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -24,7 +24,7 @@
 	// retired: a request sent while the server closes it may or may not have run.
 	idleCloseMargin = 400 * time.Millisecond
 	// When a backend server has dropped an idle connection, connections are reused for the next
-	// learnedIdleTTL only up to learnedIdleRatio of the time that it had been idle.
+	// learnedIdleTTL only up to learnedIdleRatio of the time for which that one had been idle.
 	learnedIdleRatio = 0.5
 	learnedIdleTTL   = 10 * time.Second
 	// minLearnedIdle is the minimum of a learned limit: servers that drop connections do so
@@ -158,7 +158,7 @@
 	return nil
 }
 
-// dial opens a connection.
+// dial opens a connection. If it is refused, the limit learned from the server is removed.
 func (p *Pool) dial(ctx context.Context, address string) (*conn, error) {
 	raw, err := p.Dial(ctx, address)
 	if err != nil {
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -303,7 +303,8 @@
 	})
 }
 
-// resetOnSecondRequest answers a connection's first request and resets the connection at the second.
+// resetOnSecondRequest answers a connection's first request and resets the connection at the
+// second.
 func resetOnSecondRequest(c net.Conn, r *bufio.Reader) {
 	id, body, err := readRequest(r)
 	if err != nil {
