--- a/internal/errkind/errkind.go
+++ b/internal/errkind/errkind.go
@@ -1,5 +1,5 @@
-// Package errkind holds the closed list of error kinds and the one table that
-// maps a kind to what a caller or operator is told.
+// Package errkind defines the closed list of error kinds and the table that maps each
+// kind to the answer that callers and operators receive.
 package errkind
 
 import (
@@ -15,7 +15,7 @@
 
 // The closed list of error kinds.
 const (
-	// Internal is a fault of this program; the request may have run.
+	// Internal is a fault in this program; the request may have run.
 	Internal Kind = iota
 	// InvalidRequest means the request is malformed.
 	InvalidRequest
@@ -25,23 +25,24 @@
 	NotFound
 	// TooLarge means a size limit is exceeded.
 	TooLarge
-	// Quarantined means that backend servers crash while they run the request.
+	// Quarantined means backend servers crash while running the request.
 	Quarantined
 	// QuotaExceeded means the organisation is at its rate limit.
 	QuotaExceeded
-	// Overloaded means the deadline cannot be met with the present load.
+	// Overloaded means the request cannot be answered in time under the present load.
 	Overloaded
 	// NotReady means this host has no configuration yet.
 	NotReady
-	// OutOfTouch means this host cannot know whether its configuration is current.
+	// OutOfTouch means this host cannot tell whether its configuration is current.
 	OutOfTouch
 	// Stopping means this host is shutting down.
 	Stopping
-	// NoBackend means no backend server can take the request.
+	// NoBackend means no backend server can accept the request.
 	NoBackend
-	// BackendUnreachable means nothing was sent to the backend server.
+	// BackendUnreachable means no connection to the backend server could be made;
+	// nothing was sent.
 	BackendUnreachable
-	// BackendRefused means the backend server refused before running anything.
+	// BackendRefused means the backend server rejected the request without running it.
 	BackendRefused
 	// BackendLost means the backend server was lost after the request was sent.
 	BackendLost
@@ -54,27 +55,28 @@
 	count
 )
 
-// RunState says whether a request ran at a backend server.
+// RunState says whether a request ran on a backend server.
 type RunState string
 
-// Run states as callers see them.
+// Run states as reported to callers.
 const (
 	NotRun     RunState = "not_run"
 	Ran        RunState = "ran"
 	MayHaveRun RunState = "may_have_run"
 )
 
-// Answer is what a kind is answered with.
+// Answer describes how errors of a kind are answered.
 type Answer struct {
-	// Name is the stable identifier given to callers.
+	// Name is the stable identifier reported to callers.
 	Name string
 	// Status is the HTTP status.
 	Status int
 	// Code is the RPC code.
 	Code connect.Code
-	// Run is the run state that holds whenever this kind is answered.
+	// Run is the run state that holds for every answer of this kind.
 	Run RunState
-	// RetryAfter is the default for Retry-After; 0 means none is sent.
+	// RetryAfter is the default of the Retry-After header; 0 means that the header is
+	// not sent.
 	RetryAfter time.Duration
 }
 
@@ -99,10 +101,10 @@
 	CallerGone:         {"caller_gone", statusCallerGone, connect.CodeCanceled, MayHaveRun, 0},
 }
 
-// statusCallerGone stands in logs for an answer that nobody waits for.
+// statusCallerGone appears in logs only: the caller is gone and receives no answer.
 const statusCallerGone = 499
 
-// All returns every kind in the order of the list.
+// All returns every kind in order of declaration.
 func All() []Kind {
 	kinds := make([]Kind, count)
 	for i := range kinds {
@@ -111,14 +113,14 @@
 	return kinds
 }
 
-// Answer returns the table's row for k.
+// Answer returns how errors of kind k are answered.
 func (k Kind) Answer() Answer { return table[k] }
 
 // String returns the stable name of k.
 func (k Kind) String() string { return table[k].Name }
 
-// Named returns the kind of a stable name, and whether there is one.
-func Named(name string) (Kind, bool) {
+// ByName returns the kind with a stable name, and whether there is one.
+func ByName(name string) (Kind, bool) {
 	for k := range count {
 		if k.String() == name {
 			return k, true
@@ -127,18 +129,19 @@
 	return Internal, false
 }
 
-// Refusal reports whether the answer refuses a request that has not run and may come back.
+// Refusal reports whether the answer rejects a request that has not run and may be retried.
 func (a Answer) Refusal() bool { return a.Run == NotRun && a.RetryAfter > 0 }
 
-// Denial reports whether the answer turns away a request that coming back would not help.
+// Denial reports whether the answer rejects a request that has not run and for which a
+// retry is of no use.
 func (a Answer) Denial() bool { return a.Run == NotRun && a.RetryAfter == 0 }
 
 // Error is an error with a kind.
 type Error struct {
 	Kind Kind
-	// Reason is a sentence for the caller, without secrets.
+	// Reason explains the error to the caller; it contains no secrets.
 	Reason string
-	// RetryAfter overrides the table's value when positive.
+	// RetryAfter overrides the kind's default when positive.
 	RetryAfter time.Duration
 	cause      error
 }
@@ -151,7 +154,7 @@
 	return &Error{Kind: k, Reason: reason, cause: err}
 }
 
-// After returns e with an explicit Retry-After.
+// After sets an explicit Retry-After and returns e.
 func (e *Error) After(d time.Duration) *Error {
 	e.RetryAfter = d
 	return e
@@ -169,7 +172,8 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.cause }
 
-// Retry returns how long the caller should wait, or 0 when a retry is of no use.
+// Retry returns how long the caller should wait before a retry, or 0 when a retry is of
+// no use.
 func (e *Error) Retry() time.Duration {
 	if e.RetryAfter > 0 {
 		return e.RetryAfter
@@ -177,7 +181,7 @@
 	return e.Kind.Answer().RetryAfter
 }
 
-// From returns err as an *Error; one without a kind becomes Internal.
+// From returns err as an *Error; an error without a kind becomes Internal.
 func From(err error) *Error {
 	if err == nil {
 		return nil
--- a/internal/explain/verdict.go
+++ b/internal/explain/verdict.go
@@ -35,7 +35,7 @@
 	if r.Outcome == obs.OutcomeOK {
 		return answered(r)
 	}
-	kind, _ := errkind.Named(r.Outcome)
+	kind, _ := errkind.ByName(r.Outcome)
 	if kind == errkind.QuotaExceeded {
 		return overLimit(r)
 	}
--- a/internal/logreport/logreport.go
+++ b/internal/logreport/logreport.go
@@ -146,7 +146,7 @@
 }
 
 func resultOf(r *logline.Request) Result {
-	kind, isError := errkind.Named(r.Outcome)
+	kind, isError := errkind.ByName(r.Outcome)
 	switch {
 	case r.Outcome == obs.OutcomeOK && r.Late():
 		return Late
--- a/internal/obs/limiter.go
+++ b/internal/obs/limiter.go
@@ -5,25 +5,24 @@
 	"time"
 )
 
-// limiterPause is the pause between two lines that a Limiter lets through: a
-// reader sees that something goes on, and the log stays bounded however often it
-// does.
-const limiterPause = time.Second
+// minLineInterval is the minimum time between two log lines that a Limiter allows: a
+// frequent event stays visible in the log without flooding it.
+const minLineInterval = time.Second
 
-// Limiter lets one line a second through and counts the others. Its zero value is
-// ready to use; it is safe for concurrent use.
+// Limiter allows one log line a second and counts the suppressed ones. Its zero value
+// is ready to use; it is safe for concurrent use.
 type Limiter struct {
 	mu      sync.Mutex
 	last    time.Time
 	skipped int
 }
 
-// Allow reports whether a line may be written now, and how many were left out
-// since the one before.
+// Allow reports whether a line may be written now, and how many were suppressed
+// since the last line that was allowed.
 func (l *Limiter) Allow(now time.Time) (skipped int, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.last.IsZero() && now.Sub(l.last) < limiterPause {
+	if !l.last.IsZero() && now.Sub(l.last) < minLineInterval {
 		l.skipped++
 		return 0, false
 	}
--- a/internal/obs/limiter_test.go
+++ b/internal/obs/limiter_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestLimiterBoundsLines: ten a second for ten seconds are ten lines, and none is
-// left uncounted.
+// TestLimiterBoundsLines: of ten lines a second over ten seconds, ten are allowed, and
+// each of the others is counted.
 func TestLimiterBoundsLines(t *testing.T) {
 	var l Limiter
 	now := time.Unix(0, 0).Add(time.Hour)
--- a/internal/obs/log.go
+++ b/internal/obs/log.go
@@ -1,4 +1,4 @@
-// Package obs sets up logs and metrics.
+// Package obs sets up structured logging and metrics.
 package obs
 
 import (
@@ -13,20 +13,20 @@
 )
 
 const (
-	// queueLines bounds the lines that wait for the output. A line is some 400 bytes,
-	// so that the queue mostly holds about 400 kB at most.
-	queueLines = 1000
-	// lineBytes is what a line may have to count as one; a longer one counts as several.
-	// A caller chooses its request's ID, of as much as a request's head takes, so that a
-	// rate of lines alone would bound no bytes. Lines on requests with several attempts
-	// are shorter.
-	lineBytes = 2 << 10
-	// queueBytes bounds the bytes that wait for the output.
-	queueBytes = queueLines * lineBytes
+	// maxQueuedLines is the maximum number of lines queued for the output. A typical line has
+	// about 400 bytes, so a full queue usually holds about 400 kB.
+	maxQueuedLines = 1000
+	// bytesPerLine is the number of bytes that count as one line of the rate limit; a longer
+	// line counts as several. Callers choose their request IDs, up to the size limit of a
+	// request's header, so a limit in lines alone would not limit bytes. Even the line of
+	// a request with several attempts is shorter than this.
+	bytesPerLine = 2 << 10
+	// maxQueuedBytes is the maximum number of bytes queued for the output.
+	maxQueuedBytes = maxQueuedLines * bytesPerLine
 )
 
-// NewLogger returns a structured logger to w that never waits for it. Close the
-// closer to write what is queued.
+// NewLogger returns a structured logger that writes to w in the background and never
+// blocks on it. Closing the Writer flushes the queue.
 func NewLogger(s *pb.LogSettings, w io.Writer) (*logrus.Logger, *Writer) {
 	out := newWriter(w, s.LinesPerSecond)
 	logger := logrus.New()
@@ -39,9 +39,10 @@
 	return logger, out
 }
 
-// Writer queues lines and writes them in the background. Lines beyond a rate, or
-// beyond the queue, in number or in bytes, are dropped and counted; lines of level info go first, so
-// that those on failed requests are the last to be lost.
+// Writer queues lines and writes them in the background. Lines over the rate limit, or
+// over the queue's limits in lines or bytes, are dropped and counted. Lines at level
+// warning and above have a higher rate limit, so that those of failed requests are the
+// last to be dropped.
 type Writer struct {
 	w     io.Writer
 	lines chan []byte
@@ -53,15 +54,15 @@
 	second  int64
 	written int64
 	dropped int64
-	// queued is the number of bytes that wait.
+	// queued is the number of bytes in the queue.
 	queued int
-	// urgent is set by Fire for the line that is about to be written.
-	urgent bool
-	began  time.Time
+	// urgent is set by Fire: the line about to be written is at level warning or above.
+	urgent  bool
+	started time.Time
 }
 
 func newWriter(w io.Writer, rate int64) *Writer {
-	out := &Writer{w: w, lines: make(chan []byte, queueLines), done: make(chan struct{}), rate: rate, began: time.Now()}
+	out := &Writer{w: w, lines: make(chan []byte, maxQueuedLines), done: make(chan struct{}), rate: rate, started: time.Now()}
 	go out.run()
 	return out
 }
@@ -69,9 +70,9 @@
 // Levels implements logrus.Hook.
 func (o *Writer) Levels() []logrus.Level { return logrus.AllLevels }
 
-// Fire implements logrus.Hook: it notes whether the next line is urgent. The
-// logger holds no lock between Fire and Write, so that two lines at once may
-// swap their urgency; both are then still counted.
+// Fire implements logrus.Hook: it records whether the next line is urgent. The logger
+// holds no lock between Fire and Write, so two concurrent lines may swap their urgency;
+// both are still counted.
 func (o *Writer) Fire(e *logrus.Entry) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -79,34 +80,35 @@
 	return nil
 }
 
-// urgentShare is how far beyond the rate urgent lines may go.
-const urgentShare = 2
+// urgentRateFactor is the rate limit of urgent lines, as a multiple of the configured rate.
+const urgentRateFactor = 2
 
-// Write implements io.Writer. It never blocks and always takes the line.
+// Write implements io.Writer. It never blocks, and reports success also for a line that
+// it drops.
 func (o *Writer) Write(line []byte) (int, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.closed {
 		return len(line), nil
 	}
-	if second := int64(time.Since(o.began) / time.Second); second != o.second {
+	if second := int64(time.Since(o.started) / time.Second); second != o.second {
 		o.second, o.written = second, 0
 	}
 	limit := o.rate
 	if o.urgent {
-		limit *= urgentShare
+		limit *= urgentRateFactor
 	}
 	if o.written >= limit {
 		o.dropped++
 		return len(line), nil
 	}
-	if o.queued+len(line) > queueBytes {
+	if o.queued+len(line) > maxQueuedBytes {
 		o.dropped++
 		return len(line), nil
 	}
 	select {
 	case o.lines <- append([]byte(nil), line...):
-		o.written += 1 + int64(len(line)/lineBytes)
+		o.written += 1 + int64(len(line)/bytesPerLine)
 		o.queued += len(line)
 	default:
 		o.dropped++
@@ -114,7 +116,7 @@
 	return len(line), nil
 }
 
-// Dropped returns how many lines were dropped so far.
+// Dropped returns the number of lines dropped so far.
 func (o *Writer) Dropped() int64 {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -125,28 +127,29 @@
 	defer close(o.done)
 	for line := range o.lines {
 		if _, err := o.w.Write(line); err != nil {
-			// There is nowhere to tell of a log that cannot be written; it is counted.
+			// A failing log output cannot be reported in the log, so the line counts as
+			// dropped.
 			o.mu.Lock()
 			o.dropped++
 			o.mu.Unlock()
 		}
-		o.taken(len(line))
+		o.dequeued(len(line))
 	}
 }
 
-// taken notes that the output has taken bytes off the queue.
-func (o *Writer) taken(bytes int) {
+// dequeued accounts for bytes that have left the queue.
+func (o *Writer) dequeued(bytes int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.queued -= bytes
 }
 
-// Close writes what is queued and ends the writer.
+// Close flushes the queue and stops the writer.
 func (o *Writer) Close() error {
 	o.mu.Lock()
 	if o.closed {
 		o.mu.Unlock()
-		return errors.New("the log was closed before")
+		return errors.New("log writer already closed")
 	}
 	o.closed = true
 	close(o.lines)
--- a/internal/obs/log_test.go
+++ b/internal/obs/log_test.go
@@ -12,23 +12,24 @@
 	pb "github.com/briarlink/briarlink/api/briarlink/v1"
 )
 
-// stuck is an output that never takes a line.
-type stuck struct{ release chan struct{} }
+// blockedOutput is an output whose writes block until it is released.
+type blockedOutput struct{ release chan struct{} }
 
-func (s stuck) Write(p []byte) (int, error) {
-	<-s.release
+func (o blockedOutput) Write(p []byte) (int, error) {
+	<-o.release
 	return len(p), nil
 }
 
-// TestLogNeverBlocks, however many lines there are for an output that is stuck.
+// TestLogNeverBlocks: with a blocked output, lines beyond the queue's limit are dropped and
+// counted, and the logger returns at once.
 func TestLogNeverBlocks(t *testing.T) {
-	out := stuck{make(chan struct{})}
+	out := blockedOutput{make(chan struct{})}
 	log, lines := NewLogger(&pb.LogSettings{Level: "info", LinesPerSecond: 1e6}, out)
 	const wrote = 5000
 	for range wrote {
 		log.Info("line")
 	}
-	if dropped := lines.Dropped(); dropped < wrote-queueLines-1 || dropped >= wrote {
+	if dropped := lines.Dropped(); dropped < wrote-maxQueuedLines-1 || dropped >= wrote {
 		t.Errorf("%d of %d lines dropped", dropped, wrote)
 	}
 	close(out.release)
@@ -37,7 +38,8 @@
 	}
 }
 
-// TestLogRateIsBounded, and lines on failures have room of their own.
+// TestLogRateIsBounded: lines at level info stay within the configured rate, and lines at
+// level warning may use the room up to twice that rate.
 func TestLogRateIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var buf bytes.Buffer
@@ -85,9 +87,9 @@
 	}
 }
 
-// TestLogBytesAreBounded: a caller may send an ID of 32 kB, which stands in the line that
-// ends its request. Lines were counted, whatever their length: 26 MB a second of those on
-// failures at the rate of 400 lines, and as much in the queue of an output that is stuck.
+// TestLogBytesAreBounded: the line that ends a request contains its ID, which may have 32 kB.
+// With limits in lines alone, failed requests could write 26 MB a second at a rate of 400 lines,
+// and fill the queue of a blocked output with as much.
 func TestLogBytesAreBounded(t *testing.T) {
 	const (
 		rate    = 400
@@ -107,21 +109,21 @@
 		if err := lines.Close(); err != nil {
 			t.Error(err)
 		}
-		if most := seconds * (urgentShare*rate*lineBytes + 2*id); buf.Len() > most {
-			t.Errorf("%d bytes in %d s, want %d at the most", buf.Len(), seconds, most)
+		if limit := seconds * (urgentRateFactor*rate*bytesPerLine + 2*id); buf.Len() > limit {
+			t.Errorf("%d bytes in %d s, want at most %d", buf.Len(), seconds, limit)
 		}
 		t.Logf("%d bytes in %d s", buf.Len(), seconds)
-		if buf.Len() < seconds*rate*lineBytes {
+		if buf.Len() < seconds*rate*bytesPerLine {
 			t.Errorf("only %d bytes", buf.Len())
 		}
 	})
-	out := stuck{make(chan struct{})}
+	out := blockedOutput{make(chan struct{})}
 	log, lines := NewLogger(&pb.LogSettings{Level: "info", LinesPerSecond: 1e6}, out)
 	for range 1000 {
 		log.WithField("request", strings.Repeat("x", id)).Warn("request")
 	}
-	if most := int64(queueBytes / id); 1000-lines.Dropped() > most {
-		t.Errorf("%d lines of %d bytes wait, want %d at the most", 1000-lines.Dropped(), id, most)
+	if limit := int64(maxQueuedBytes / id); 1000-lines.Dropped() > limit {
+		t.Errorf("%d lines of %d bytes queued, want at most %d", 1000-lines.Dropped(), id, limit)
 	}
 	close(out.release)
 	if err := lines.Close(); err != nil {
--- a/internal/obs/metrics.go
+++ b/internal/obs/metrics.go
@@ -13,59 +13,61 @@
 
 const reportInterval = time.Second
 
-// Metrics is every metric of an entry host. Their number does not grow with
-// organisations or replicas.
+// Metrics holds all metrics of an entry host. The number of time series does not grow
+// with the numbers of organisations and replicas.
 type Metrics struct {
-	scope tally.Scope
-	moved map[movedKey]moved
-	// limited holds the organisations that have a counter of their own.
-	limitedMu sync.Mutex
-	limited   map[string]bool
-	// First is the time to an answer's head or a stream's first event.
+	scope   tally.Scope
+	traffic map[trafficKey]trafficCounters
+	// named holds the organisations whose rate-limit rejections are counted by name.
+	namedMu sync.Mutex
+	named   map[string]bool
+	// First is the time to an answer's header or to a stream's first event.
 	First tally.Histogram
 	// Whole is the time to the end of an answer.
 	Whole tally.Histogram
-	// PromptTokens counts prompt tokens, CachedTokens those expected in the chosen
-	// replica's cache, FetchedTokens those expected to be fetched.
+	// PromptTokens counts prompt tokens, CachedTokens those of them expected to be in the
+	// chosen replica's cache, and FetchedTokens those it is expected to fetch.
 	PromptTokens  tally.Counter
 	CachedTokens  tally.Counter
 	FetchedTokens tally.Counter
-	// Repeats counts sends beyond the first of a request; Resumed counts streams
-	// continued at another replica.
+	// Repeats counts retries: sends of a request after its first. Resumed counts streams
+	// continued by another replica.
 	Repeats tally.Counter
 	Resumed tally.Counter
 	// Open is the number of open requests.
 	Open tally.Gauge
-	// ConfigVersion is the version in force on this host; StoreAge is how long ago
-	// the store last answered, in seconds.
+	// ConfigVersion is the version of the configuration in force on this host; StoreAge
+	// is the time since the store last answered, in seconds.
 	ConfigVersion tally.Gauge
 	StoreAge      tally.Gauge
-	// Hosts and Replicas are the numbers known to live; RoutingHosts of them are those
-	// that callers are sent to.
+	// Hosts and Replicas are the numbers of live hosts and of registered replicas;
+	// RoutingHosts is the number of hosts that callers are sent to.
 	Hosts        tally.Gauge
 	RoutingHosts tally.Gauge
 	Replicas     tally.Gauge
-	// Lacking is the number of replicas that lack the wanted weights, and LackingAge
-	// the longest time, in seconds, for which one of them has, as this host believes.
+	// Lacking is the number of replicas with outdated weights, and LackingAge the longest
+	// time, in seconds, for which one of them has had them, as far as this host knows.
 	Lacking    tally.Gauge
 	LackingAge tally.Gauge
 	// LeaseHeld is 1 while this host holds the lease for weights.
 	LeaseHeld tally.Gauge
-	Orders    tally.Counter
+	// Orders counts the commands to load weights that this host gives.
+	Orders tally.Counter
 	// Connections is the number of connections opened to backend servers.
 	Connections tally.Gauge
-	// BulkRead is the number of bytes that were read in bulk, as cache events.
+	// BulkRead is the number of bytes received in bulk reads, such as those of cache events.
 	BulkRead tally.Gauge
-	// Malformed counts backend servers' entries that name no server.
+	// Malformed counts store entries of backend servers that name no server.
 	Malformed tally.Counter
-	// Quarantined is the number of requests that are refused since servers crash under them.
+	// Quarantined is the number of quarantined requests: backend servers crashed while
+	// running them, so they are rejected.
 	Quarantined tally.Gauge
-	// DroppedLines is the number of log lines dropped.
+	// DroppedLines is the number of dropped log lines.
 	DroppedLines tally.Gauge
 }
 
-// NewMetrics returns the metrics and the handler that exposes them to
-// Prometheus. Close the closer to stop reporting.
+// NewMetrics returns the metrics, the handler that exposes them to Prometheus, and a
+// closer that stops reporting.
 func NewMetrics() (*Metrics, http.Handler, io.Closer) {
 	registry := prom.NewRegistry()
 	reporter := prometheus.NewReporter(prometheus.Options{Registerer: registry, Gatherer: registry})
@@ -73,15 +75,15 @@
 		Prefix:         "briarlink",
 		Separator:      prometheus.DefaultSeparator,
 		CachedReporter: reporter,
-		// The cardinality metrics have names that Prometheus refuses.
+		// Prometheus rejects the names of tally's cardinality metrics.
 		OmitCardinalityMetrics: true,
 		SanitizeOptions:        &prometheus.DefaultSanitizerOpts,
 	}, reportInterval)
 	buckets := tally.MustMakeExponentialDurationBuckets(5*time.Millisecond, 1.8, 15)
 	return &Metrics{
 		scope:         scope,
-		moved:         newMoved(scope),
-		limited:       map[string]bool{},
+		traffic:       newTrafficCounters(scope),
+		named:         map[string]bool{},
 		First:         scope.Histogram("first_event_seconds", buckets),
 		Whole:         scope.Histogram("answer_seconds", buckets),
 		PromptTokens:  scope.Counter("prompt_tokens"),
@@ -107,28 +109,28 @@
 	}, reporter.HTTPHandler(), closer
 }
 
-// maxLimited bounds the organisations whose refusals are counted by name.
-const maxLimited = 32
+// maxNamed is the maximum number of organisations whose rejections are counted by name.
+const maxNamed = 32
 
-// others stands for the organisations beyond them.
+// others is the label value for all further organisations.
 const others = "others"
 
-// OverLimit counts a request that was refused for its organisation's rate limit: by name
-// for the first organisations that it happens to.
+// OverLimit counts a request rejected because its organisation is over its rate limit. The
+// first maxNamed organisations are counted by name, all others together.
 func (m *Metrics) OverLimit(organisation string) {
-	m.limitedMu.Lock()
-	if !m.limited[organisation] {
-		if len(m.limited) < maxLimited {
-			m.limited[organisation] = true
+	m.namedMu.Lock()
+	if !m.named[organisation] {
+		if len(m.named) < maxNamed {
+			m.named[organisation] = true
 		} else {
 			organisation = others
 		}
 	}
-	m.limitedMu.Unlock()
+	m.namedMu.Unlock()
 	m.scope.Tagged(map[string]string{"organisation": organisation}).Counter("over_rate_limit").Inc(1)
 }
 
-// Answered counts a request by outcome: an error kind, or "ok".
+// Answered counts a request by its outcome: the name of an error kind, or OutcomeOK.
 func (m *Metrics) Answered(outcome string) {
 	m.scope.Tagged(map[string]string{"outcome": outcome}).Counter("requests").Inc(1)
 }
--- a/internal/obs/schema.go
+++ b/internal/obs/schema.go
@@ -13,13 +13,13 @@
 	"github.com/briarlink/briarlink/internal/errkind"
 )
 
-// messages lists every message with its levels; `make docs` renews it from the
+// messages lists every log message with its levels; `make docs` generates it from the
 // code.
 //
 //go:embed messages.txt
 var messages string
 
-// levels returns the levels of each message.
+// levels returns the levels at which each message is logged.
 var levels = sync.OnceValue(func() map[string][]string {
 	out := map[string][]string{}
 	for _, line := range strings.Split(strings.TrimSpace(messages), "\n") {
@@ -29,15 +29,15 @@
 	return out
 })
 
-// RequestMessage is the message of the line that ends each request.
+// RequestMessage is the message of the line that is logged at the end of each request.
 const RequestMessage = "request"
 
-// requestFields are in each of those lines.
+// requestFields are the required fields of that line.
 var requestFields = []string{"request", "outcome", "ms", "state", "sends", "ran"}
 
-// CheckLine reports what is wrong with a log line: every line is a JSON object
-// with time, level and a known message, and a request's line has its fields and an
-// outcome from the closed list.
+// CheckLine validates a log line and returns an error that says what is wrong with it.
+// Every line is a JSON object with a time, a level and a known message; the line that ends
+// a request also has its required fields and a known outcome.
 func CheckLine(line []byte) error {
 	var fields map[string]any
 	if err := json.Unmarshal(line, &fields); err != nil {
@@ -71,12 +71,12 @@
 	if outcome == OutcomeOK {
 		return nil
 	}
-	if _, known := errkind.Named(outcome); known {
+	if _, known := errkind.ByName(outcome); known {
 		return nil
 	}
 	return errors.Errorf("unknown outcome %q", outcome)
 }
 
-// OutcomeOK is the outcome of a request that was answered by a replica; every
-// other one is the name of an error kind.
+// OutcomeOK is the outcome of a request that was answered by a replica; any other
+// outcome is the name of an error kind.
 const OutcomeOK = "ok"
--- a/internal/obs/traffic.go
+++ b/internal/obs/traffic.go
@@ -2,39 +2,41 @@
 
 import "github.com/uber-go/tally/v4"
 
-// Traffic names what hosts send to each other, for what it costs between zones.
+// Traffic is a kind of traffic between hosts. It is metered by kind because traffic
+// between availability zones costs money.
 type Traffic string
 
-// What hosts send to each other.
+// Kinds of traffic between hosts.
 const (
-	// Heartbeats are datagrams to other hosts.
+	// Heartbeats are datagrams sent to other hosts.
 	Heartbeats Traffic = "heartbeats"
-	// Records are answers to other hosts that lack records.
+	// Records are responses to other hosts that fetch missing records.
 	Records Traffic = "records"
 )
 
-// moved counts messages and bytes of one kind.
-type moved struct{ messages, bytes tally.Counter }
+// trafficCounters counts the messages and bytes of one kind of traffic.
+type trafficCounters struct{ messages, bytes tally.Counter }
 
-type movedKey struct {
+type trafficKey struct {
 	traffic Traffic
-	zone    bool
+	inZone  bool
 }
 
-func newMoved(scope tally.Scope) map[movedKey]moved {
-	out := map[movedKey]moved{}
+func newTrafficCounters(scope tally.Scope) map[trafficKey]trafficCounters {
+	out := map[trafficKey]trafficCounters{}
 	for _, traffic := range []Traffic{Heartbeats, Records} {
-		for zone, reach := range map[bool]string{true: "zone", false: "zones"} {
+		for inZone, reach := range map[bool]string{true: "zone", false: "zones"} {
 			tagged := scope.Tagged(map[string]string{"kind": string(traffic), "reach": reach})
-			out[movedKey{traffic, zone}] = moved{tagged.Counter("moved_messages"), tagged.Counter("moved_bytes")}
+			out[trafficKey{traffic, inZone}] = trafficCounters{tagged.Counter("moved_messages"), tagged.Counter("moved_bytes")}
 		}
 	}
 	return out
 }
 
-// Moved counts a message by whether it stayed within the availability zone.
+// Moved counts a sent message of the given size, separately for messages within the
+// availability zone and between zones.
 func (m *Metrics) Moved(traffic Traffic, inZone bool, bytes int) {
-	c := m.moved[movedKey{traffic, inZone}]
+	c := m.traffic[trafficKey{traffic, inZone}]
 	c.messages.Inc(1)
 	c.bytes.Inc(int64(bytes))
 }
