--- a/cmd/briarlink/explain.go
+++ b/cmd/briarlink/explain.go
@@ -20,7 +20,7 @@
 	if err := logs.keep(); err != nil {
 		return err
 	}
-	story, err := explain.Tell(c.Request, logs, c.All)
+	story, err := explain.Request(c.Request, logs, c.All)
 	if err != nil {
 		return err
 	}
--- a/cmd/briarlink/logfiles_test.go
+++ b/cmd/briarlink/logfiles_test.go
@@ -68,7 +68,7 @@
 			}
 		},
 		"explain": func(t *testing.T, l *fleetLogs) {
-			story, err := explain.Tell(fleetLost, l, false)
+			story, err := explain.Request(fleetLost, l, false)
 			if err != nil || !strings.Contains(story.Verdict, "was lost") {
 				t.Errorf("%v: %s", err, story.Verdict)
 			}
--- a/internal/explain/choice.go
+++ b/internal/explain/choice.go
@@ -2,44 +2,46 @@
 
 import "github.com/briarlink/briarlink/internal/logline"
 
-// choice is what a story keeps of the logs. Its size is that of the story, whatever
-// that of the logs.
-type choice struct {
-	window
-	// version is that of the weights that the request counted on.
+// collector collects the lines of an explanation. It keeps only these in memory, however
+// large the logs are.
+type collector struct {
+	filter
+	// version is the weights version by which the request was routed.
 	version int64
 	lines   []logline.Line
-	// config and wanted were in force when the request came.
+	// config and wanted are the lines on the configuration and the weights in force when
+	// the request arrived.
 	config, wanted *logline.Line
-	// newer is the first line that named newer weights before the request came.
+	// newer is the first line, before the request arrived, on newer wanted weights.
 	newer *logline.Line
 }
 
-// take keeps a line that belongs to the story, or says what was in force.
-func (c *choice) take(text []byte) error {
+// add keeps a line that is relevant to the request, or that states what was in force when
+// it arrived.
+func (c *collector) add(text []byte) error {
 	h, ok := logline.ParseHead(text)
 	if !ok || h.At.After(c.to) {
 		return nil
 	}
-	tells := c.tells(&h)
-	if !tells && !c.inForce(&h) {
+	relevant := c.relevant(&h)
+	if !relevant && !c.inForce(&h) {
 		return nil
 	}
 	l, ok := logline.Parse(text)
 	if !ok {
 		return nil
 	}
-	if tells {
+	if relevant {
 		c.lines = append(c.lines, l)
-	} else if c.here(&h) {
-		c.stood(&l)
+	} else if c.fromServingHost(&h) {
+		c.addInForce(&l)
 	}
-	c.named(&l)
+	c.addNewerWeights(&l)
 	return nil
 }
 
-// stood takes a line of the host on what was in force.
-func (c *choice) stood(l *logline.Line) {
+// addInForce records a line of the serving host on the configuration or weights in force.
+func (c *collector) addInForce(l *logline.Line) {
 	if l.Message == configInForce {
 		c.config = later(c.config, l)
 		return
@@ -47,18 +49,18 @@
 	c.wanted = later(c.wanted, l)
 }
 
-// named takes a line of any host that names weights newer than those that the request
-// counted on.
-func (c *choice) named(l *logline.Line) {
-	newer := l.Message == weightsWanted && int64(l.Number("version")) > c.version && l.At.Before(c.began)
+// addNewerWeights records the earliest line of any host on wanted weights newer than those
+// by which the request was routed.
+func (c *collector) addNewerWeights(l *logline.Line) {
+	newer := l.Message == weightsWanted && int64(l.Number("version")) > c.version && l.At.Before(c.arrived)
 	if newer && (c.newer == nil || l.At.Before(c.newer.At)) {
 		c.newer = l
 	}
 }
 
-// inOrder returns the lines in order of time. What was in force when the request came
-// stands first.
-func (c *choice) inOrder() []logline.Line {
+// sorted returns the lines in order of time, preceded by those on what was in force when
+// the request arrived.
+func (c *collector) sorted() []logline.Line {
 	logline.Sort(c.lines)
 	var out []logline.Line
 	for _, l := range []*logline.Line{c.config, c.wanted} {
@@ -69,7 +71,7 @@
 	return append(out, c.lines...)
 }
 
-// later returns the later of two lines, of one moment the second.
+// later returns the later of two lines, or b if their times are equal.
 func later(a, b *logline.Line) *logline.Line {
 	if a == nil || !b.At.Before(a.At) {
 		return b
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -1,5 +1,5 @@
-// Package explain tells from the hosts' logs what became of a request and why: a
-// verdict first, then the lines that bear on it.
+// Package explain finds out from the logs of all hosts how a request ended and why. An
+// explanation has a verdict and the log lines that are relevant to it.
 package explain
 
 import (
@@ -11,17 +11,17 @@
 )
 
 const (
-	// before and after bound the time around a request in which lines on its replicas
-	// bear on it: a fault shows within seconds, and hosts tell of a lost replica a
-	// little after the streams that it cut.
-	before = 5 * time.Second
-	after  = 1500 * time.Millisecond
-	// foldWithin is the time within which hosts say the same of one event.
-	foldWithin = time.Second
+	// windowBefore and windowAfter limit the time around a request in which lines on its
+	// replicas are relevant: the effects of a fault show within seconds, and hosts log a
+	// lost replica a little after the streams that its loss cut.
+	windowBefore = 5 * time.Second
+	windowAfter  = 1500 * time.Millisecond
+	// repeatWindow is the time within which several hosts log the same event.
+	repeatWindow = time.Second
 )
 
-// replicaMessages are the lines on a replica that can be the cause of what became of
-// a request, and hostMessages those on the host that served it.
+// replicaMessages are the messages on a replica that may explain how a request ended, and
+// hostMessages those on the host that served it.
 var (
 	replicaMessages = map[string]bool{
 		"replica changed state": true, "replica thought down": true, "replica serves again": true,
@@ -37,55 +37,55 @@
 	}
 )
 
-// digestMessages are the lines on all attempts at the same request; when they were written
-// makes no difference.
+// digestMessages are the messages on a request's digest, which all attempts at the same
+// request share. They are relevant whenever they were logged.
 var digestMessages = map[string]bool{
 	"request refused from now on: servers crash under it": true, "request is let in again": true,
 }
 
-// Lines that say what is in force.
+// Messages on the configuration and the weights in force.
 const (
 	configInForce = "configuration in force"
 	weightsWanted = "weights wanted"
 )
 
-// Story is what became of a request.
-type Story struct {
-	// Verdict is one sentence: what the caller got, and the cause.
+// Explanation says how a request ended, and why.
+type Explanation struct {
+	// Verdict is one sentence: what the caller received, and the cause.
 	Verdict string
-	// Lines bear on it, in order of time.
+	// Lines are the relevant log lines, in order of time.
 	Lines []logline.Line
 }
 
-// Tell returns the story of a request. With everything set it also has each line of
-// the replicas that it met since the logs begin. The logs are read twice, first for the
-// line that ends the request: only lines that the story may need are kept.
-func Tell(id string, logs logline.Logs, everything bool) (Story, error) {
-	last, err := endOf(id, logs)
+// Request explains the request with an ID. With everything set, the lines also include all
+// those on its replicas since the logs begin. The logs are read twice: the first pass finds
+// the line that ends the request, and the second one keeps only the lines relevant to it.
+func Request(id string, logs logline.Logs, everything bool) (Explanation, error) {
+	last, err := findEnd(id, logs)
 	if err != nil {
-		return Story{}, err
+		return Explanation{}, err
 	}
 	if last == nil {
-		return untold(id, logs)
+		return withoutEnd(id, logs)
 	}
 	r, err := last.Request()
 	if err != nil {
-		return Story{}, err
+		return Explanation{}, err
 	}
-	c := choice{window: window{
+	c := collector{filter: filter{
 		id: id, digest: r.Digest, host: last.Source, replicas: r.Replicas(), everything: everything,
-		from: r.Began(last.At).Add(-before), began: r.Began(last.At), to: last.At.Add(after),
+		from: r.Arrival(last.At).Add(-windowBefore), arrived: r.Arrival(last.At), to: last.At.Add(windowAfter),
 	}, version: r.Weights}
-	if err := logs.Each(c.take); err != nil {
-		return Story{}, err
+	if err := logs.Each(c.add); err != nil {
+		return Explanation{}, err
 	}
-	story := Story{Lines: fold(c.inOrder())}
-	story.Verdict = verdict(&r, last, story.Lines, c.newer)
-	return story, nil
+	out := Explanation{Lines: dropRepeats(c.sorted())}
+	out.Verdict = verdict(&r, last, out.Lines, c.newer)
+	return out, nil
 }
 
-// endOf returns the last line that ends a request, or nil.
-func endOf(id string, logs logline.Logs) (*logline.Line, error) {
+// findEnd returns the latest line that ends the request, or nil.
+func findEnd(id string, logs logline.Logs) (*logline.Line, error) {
 	var last *logline.Line
 	err := logs.Each(func(text []byte) error {
 		if !logline.MayHold(text, id) {
@@ -100,76 +100,82 @@
 	return last, err
 }
 
-// untold is the story of a request without a line of its own.
-func untold(id string, logs logline.Logs) (Story, error) {
-	story := Story{Verdict: fmt.Sprintf("no line ends request %s: the host that took it ended before it could write one, or its log is not among these", id)}
+// withoutEnd explains a request whose end was not logged: it returns its other lines, and
+// those on hosts that started or were lost.
+func withoutEnd(id string, logs logline.Logs) (Explanation, error) {
+	out := Explanation{Verdict: fmt.Sprintf("no line ends request %s: the host that took it ended before it could write one, or its log is not among these", id)}
 	err := logs.Each(func(text []byte) error {
 		h, ok := logline.ParseHead(text)
 		if !ok || h.Message != "host lost: no heartbeats" && h.Message != "started" && h.Request != id {
 			return nil
 		}
 		if l, ok := logline.Parse(text); ok {
-			story.Lines = append(story.Lines, l)
+			out.Lines = append(out.Lines, l)
 		}
 		return nil
 	})
-	logline.Sort(story.Lines)
-	story.Lines = fold(story.Lines)
-	return story, err
+	logline.Sort(out.Lines)
+	out.Lines = dropRepeats(out.Lines)
+	return out, err
 }
 
-// window says which lines bear on a request.
-type window struct {
-	id         string
-	digest     string
-	host       string
-	replicas   map[string]bool
+// filter selects the lines that are relevant to a request.
+type filter struct {
+	id       string
+	digest   string
+	host     string
+	replicas map[string]bool
+	// from and to limit the time of relevant lines; arrived is when the request arrived.
 	from       time.Time
-	began      time.Time
+	arrived    time.Time
 	to         time.Time
 	everything bool
 }
 
-// tells reports whether a line belongs to the story.
-func (w *window) tells(h *logline.Head) bool { return h.Request == w.id || w.bears(h) }
+// relevant reports whether a line is relevant to the request.
+func (f *filter) relevant(h *logline.Head) bool { return h.Request == f.id || f.onContext(h) }
 
-// here reports whether a line is of the host that served the request, as far as
-// sources are known.
-func (w *window) here(h *logline.Head) bool {
+// fromServingHost reports whether a line was written by the host that served the request.
+// Without a known source it is assumed to be.
+func (f *filter) fromServingHost(h *logline.Head) bool {
 	source := h.Source()
-	return w.host == "" || source == "" || source == w.host
+	return f.host == "" || source == "" || source == f.host
 }
 
-func (w *window) bears(h *logline.Head) bool {
-	near := !h.At.Before(w.from)
+// onContext reports whether a line without the request's ID is relevant to the request: it
+// is on the request's digest, on its replicas, or on the host that served it.
+func (f *filter) onContext(h *logline.Head) bool {
+	near := !h.At.Before(f.from)
 	if h.Message == obs.RequestMessage {
 		return false
 	}
 	if digestMessages[h.Message] {
-		return w.digest != "" && h.Digest == w.digest
+		return f.digest != "" && h.Digest == f.digest
 	}
-	if w.replicas[h.Replica] {
-		return w.everything || near && replicaMessages[h.Message]
+	if f.replicas[h.Replica] {
+		return f.everything || near && replicaMessages[h.Message]
 	}
-	during := !h.At.Before(w.began)
-	return during && hostMessages[h.Message] && w.here(h)
+	during := !h.At.Before(f.arrived)
+	return during && hostMessages[h.Message] && f.fromServingHost(h)
 }
 
-// inForce reports whether a line says what was in force when the request came.
-func (w *window) inForce(h *logline.Head) bool {
-	return !h.At.After(w.began) && (h.Message == configInForce || h.Message == weightsWanted)
+// inForce reports whether a line says which configuration or weights were in force when
+// the request arrived.
+func (f *filter) inForce(h *logline.Head) bool {
+	return !h.At.After(f.arrived) && (h.Message == configInForce || h.Message == weightsWanted)
 }
 
-// fold drops a line that another host said just before.
-func fold(lines []logline.Line) []logline.Line {
+// dropRepeats drops lines whose content was logged a moment before, as several hosts log
+// the same event.
+func dropRepeats(lines []logline.Line) []logline.Line {
 	var out []logline.Line
-	said := map[string]time.Time{}
+	logged := map[string]time.Time{}
 	for _, l := range lines {
-		text := l.Said()
-		if at, known := said[text]; known && l.At.Sub(at) < foldWithin {
+		text := l.Content()
+		if at, known := logged[text]; known && l.At.Sub(at) < repeatWindow {
 			continue
 		}
-		said[text] = l.At
+		logged[text] = l.At
 		out = append(out, l)
 	}
 	return out
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -10,8 +10,8 @@
 	"github.com/briarlink/briarlink/internal/logline"
 )
 
-// background stands in every log: the host's start, what was in force, and a line on
-// a replica that the request did not meet.
+// background is part of every log: the host's start, what was in force, and a line on a
+// replica that the request was not sent to.
 const background = `
 0.0 edge-1 {"level":"info","msg":"started","host":"edge-1","time":"2026-06-01T10:00:00Z"}
 0.1 edge-1 {"level":"info","msg":"replica registered","replica":"i-1","time":"2026-06-01T10:00:00.1Z"}
@@ -21,7 +21,7 @@
 2.0 edge-2 {"level":"info","msg":"weights loaded","replica":"i-1","version":1,"time":"2026-06-01T10:00:02Z"}
 `
 
-// cases are requests that went wrong, each with the lines of all hosts.
+// cases are the logs of all hosts for requests that failed or were answered late.
 var cases = map[string]string{
 	"refusal": `
 10.1 edge-1 {"level":"warning","msg":"request","request":"r-1","outcome":"overloaded","error":"overloaded: the wait is expected to be 431 ms, and 400 ms are left to more urgent requests","ms":2,"sends":0,"ran":0,"config":7,"retry_after_ms":431,"state":"failed","time":"2026-06-01T10:00:10Z"}`,
@@ -66,54 +66,56 @@
 10.1 edge-1 {"level":"info","msg":"request","request":"r-1","outcome":"backend_error","status":500,"ms":62,"sends":2,"ran":2,"replica":"i-2","config":7,"state":"complete","tries":[{"Replica":"i-1","Result":"failed","Reason":"the replica answered 500","Ms":30},{"Replica":"i-2","Result":"failed","Reason":"the replica answered 500","Ms":29}],"time":"2026-06-01T10:00:10.1Z"}`,
 }
 
-// logs are the logs of all hosts in one text.
+// logs implements logline.Logs on a text with the logs of all hosts.
 type logs string
 
 func (l logs) Each(f func(text []byte) error) error {
 	return logline.Each(strings.NewReader(string(l)), f)
 }
 
-func tell(t *testing.T, log string, everything bool) Story {
+func explainRequest(t *testing.T, log string, everything bool) Explanation {
 	t.Helper()
-	story, err := Tell("r-1", logs("starting\n"+background+log), everything)
+	out, err := Request("r-1", logs("starting\n"+background+log), everything)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return story
+	return out
 }
 
-// TestStories keeps the whole story of each case: the cause stands in the first line,
-// and nothing that does not bear on it.
-func TestStories(t *testing.T) {
+// TestExplanations compares the explanation of each case with a golden file: the verdict
+// names the cause, and no irrelevant line is included.
+func TestExplanations(t *testing.T) {
 	for name, log := range cases {
-		story := tell(t, log, false)
-		text := story.Verdict + "\n"
-		for _, l := range story.Lines {
+		explanation := explainRequest(t, log, false)
+		text := explanation.Verdict + "\n"
+		for _, l := range explanation.Lines {
 			text += l.String() + "\n"
 		}
 		goldie.New(t).Assert(t, name, []byte(text))
-		for _, l := range story.Lines {
+		for _, l := range explanation.Lines {
 			if l.Text("replica") == "i-9" || l.Message == "replica registered" {
-				t.Errorf("%s: tells %s", name, l.String())
+				t.Errorf("%s: includes the irrelevant line %s", name, l.String())
 			}
 		}
 	}
 }
 
-// TestEverything adds the lines on its replicas since the logs begin, and no others.
+// TestEverything: with everything set, exactly the lines on the request's replicas since the
+// logs begin are added.
 func TestEverything(t *testing.T) {
-	few, all := tell(t, cases["replica-lost"], false), tell(t, cases["replica-lost"], true)
+	few, all := explainRequest(t, cases["replica-lost"], false), explainRequest(t, cases["replica-lost"], true)
 	if len(all.Lines) != len(few.Lines)+2 {
-		t.Errorf("%d lines, without the rest %d", len(all.Lines), len(few.Lines))
+		t.Errorf("%d lines with everything set, %d without", len(all.Lines), len(few.Lines))
 	}
 }
 
-// TestHostsSayTheSameOnce, but not of a later event.
-func TestHostsSayTheSameOnce(t *testing.T) {
-	said := func(at time.Duration) logline.Line {
+// TestRepeatedLinesAreDropped: the same line of several hosts is included once within
+// repeatWindow; a later one is another event.
+func TestRepeatedLinesAreDropped(t *testing.T) {
+	line := func(at time.Duration) logline.Line {
 		return logline.Line{At: time.Unix(0, 0).Add(at), Message: "replica registered", Fields: map[string]any{"replica": "i-1"}}
 	}
-	if got := fold([]logline.Line{said(0), said(foldWithin / 2), said(2 * foldWithin)}); len(got) != 2 {
+	if got := dropRepeats([]logline.Line{line(0), line(repeatWindow / 2), line(2 * repeatWindow)}); len(got) != 2 {
 		t.Errorf("%d lines", len(got))
 	}
 }
--- a/internal/explain/verdict.go
+++ b/internal/explain/verdict.go
@@ -11,33 +11,34 @@
 	"github.com/briarlink/briarlink/internal/obs"
 )
 
-// lateFactor is how many times as long as expected a first event must take for the
-// verdict to name it.
+// lateFactor is the ratio of actual to expected time to the first event above which the
+// verdict mentions the delay.
 const lateFactor = 2
 
-// verdict says in a sentence what the caller got, why, and which line shows it.
-func verdict(r *logline.Request, end *logline.Line, near []logline.Line, newer *logline.Line) string {
-	text := got(r, end, near)
-	if evidence := evidence(r, near); evidence != "" {
+// verdict returns one sentence on what the caller received, the cause, and the line that
+// shows it.
+func verdict(r *logline.Request, end *logline.Line, lines []logline.Line, newer *logline.Line) string {
+	text := describeOutcome(r, end, lines)
+	if evidence := lossEvidence(r, lines); evidence != "" {
 		text += "; " + evidence
 	}
-	if old := oldWeights(r, end, newer); old != "" {
+	if old := describeOldWeights(r, end, newer); old != "" {
 		text += "; " + old
 	}
-	if changed := configChanged(r, near); changed != "" {
+	if changed := describeConfigChange(r, lines); changed != "" {
 		text += "; " + changed
 	}
 	return text
 }
 
-// got says what the caller got.
-func got(r *logline.Request, end *logline.Line, near []logline.Line) string {
+// describeOutcome says what the caller received.
+func describeOutcome(r *logline.Request, end *logline.Line, lines []logline.Line) string {
 	if r.Outcome == obs.OutcomeOK {
-		return answered(r)
+		return describeAnswer(r)
 	}
 	kind, _ := errkind.ByName(r.Outcome)
 	if kind == errkind.QuotaExceeded {
-		return overLimit(r)
+		return describeOverLimit(r)
 	}
 	if kind.Answer().Refusal() {
 		return fmt.Sprintf("the caller was refused after %.0f ms and asked back after %.0f ms; it has not run (%s)", r.Ms, r.RetryAfterMs, r.Error)
@@ -50,24 +51,25 @@
 	case errkind.Quarantined:
 		return fmt.Sprintf("the caller was denied: servers crash under this request, whoever sends it on; it has not run (%s)", r.Error)
 	case errkind.BackendLost:
-		if r.Started() {
+		if r.AnswerStarted() {
 			return fmt.Sprintf("the caller's stream was cut after %.0f ms, its first event came after %.0f ms: replica %s was lost", r.Ms, r.FirstMs, r.LostReplica())
 		}
 		return fmt.Sprintf("the caller got %d after %.0f ms: replica %s was lost before an answer, and may have run it", errkind.BackendLost.Answer().Status, r.Ms, r.LostReplica())
 	case errkind.CallerGone, errkind.DeadlineExceeded:
-		return unanswered(r, end.At, near)
+		return describeUnanswered(r, end.At, lines)
 	default:
 		return fmt.Sprintf("the caller got %s after %.0f ms (%s)", r.Outcome, r.Ms, r.Error)
 	}
 }
 
-// overLimit tells a refusal for a rate limit from one that more replicas would have saved.
-func overLimit(r *logline.Request) string {
+// describeOverLimit describes a rejection by a rate limit. Its text says that load of others
+// played no part, unlike for a rejection that more replicas would have avoided.
+func describeOverLimit(r *logline.Request) string {
 	return fmt.Sprintf("the caller was refused for its organisation's rate limit, by configuration %d, and asked back after %.0f ms; it has not run, and no load of other organisations played a part (%s)",
 		r.Config, r.RetryAfterMs, r.Error)
 }
 
-func answered(r *logline.Request) string {
+func describeAnswer(r *logline.Request) string {
 	text := fmt.Sprintf("the caller got %d from replica %s after %.0f ms", statusOr(r.Status, http.StatusOK), r.Replica, r.Ms)
 	if r.FirstMs > 0 && r.ExpectedMs > 0 && r.FirstMs > lateFactor*r.ExpectedMs {
 		text += fmt.Sprintf(", the first event after %.0f ms where %.0f were expected", r.FirstMs, r.ExpectedMs)
@@ -78,25 +80,26 @@
 	return text
 }
 
-func statusOr(status, otherwise int) int {
+func statusOr(status, fallback int) int {
 	if status == 0 {
-		return otherwise
+		return fallback
 	}
 	return status
 }
 
-// unanswered tells a caller that left from an answer that never came.
-func unanswered(r *logline.Request, end time.Time, near []logline.Line) string {
+// describeUnanswered describes a request whose caller left or whose deadline passed before
+// its answer was complete, and whether a replica failed to answer it.
+func describeUnanswered(r *logline.Request, end time.Time, lines []logline.Line) string {
 	who := "the caller left"
 	if r.Outcome == errkind.DeadlineExceeded.String() {
 		who = "the deadline passed"
 	}
 	switch {
-	case r.Started():
+	case r.AnswerStarted():
 		return fmt.Sprintf("%s after %.0f ms, in the middle of the answer", who, r.Ms)
-	case r.Sends > 0 && lostHere(r, end, near):
+	case r.Sends > 0 && answerLost(r, end, lines):
 		return fmt.Sprintf("%s after %.0f ms without an answer: replica %s lost it silently", who, r.Ms, r.Replica)
-	case find(near, lineLost, r.Replica) != nil:
+	case findLine(lines, answerLostMessage, r.Replica) != nil:
 		return fmt.Sprintf("%s after %.0f ms without an answer; replica %s lost another one silently, whether this one too is not known", who, r.Ms, r.Replica)
 	case r.Sends > 0 && r.ExpectedMs == 0:
 		return fmt.Sprintf("%s after %.0f ms without an answer of replica %s; when one was expected is not known", who, r.Ms, r.Replica)
@@ -109,38 +112,38 @@
 	}
 }
 
-// lineLost is written when a later request of a replica is answered long after an
-// earlier one was due.
-const lineLost = "answer thought lost: later requests were answered"
+// answerLostMessage is logged when a replica answers a later request while an earlier one
+// is long overdue.
+const answerLostMessage = "answer thought lost: later requests were answered"
 
-// sameSend is how far apart two accounts of one moment may lie: lines have whole
-// milliseconds and are written a little later.
-const sameSend = 100 * time.Millisecond
+// sendTolerance is the maximum difference between two logged times of the same send: log
+// lines have whole milliseconds and are written a little after the event.
+const sendTolerance = 100 * time.Millisecond
 
-// lostHere reports whether a line says so of this very request: one that the replica
-// had been sent when this one was.
-func lostHere(r *logline.Request, end time.Time, near []logline.Line) bool {
+// answerLost reports whether a line says that the answer to this very request was lost: the
+// lost answer's request was sent to the same replica at the same time.
+func answerLost(r *logline.Request, end time.Time, lines []logline.Line) bool {
 	if len(r.Tries) == 0 {
 		return false
 	}
 	last := r.Tries[len(r.Tries)-1]
 	sent := end.Add(-time.Duration(last.Ms) * time.Millisecond)
-	return slices.ContainsFunc(near, func(l logline.Line) bool {
+	return slices.ContainsFunc(lines, func(l logline.Line) bool {
 		other := l.At.Add(-time.Duration(l.Number("waited_ms") * float64(time.Millisecond)))
-		return l.Message == lineLost && l.Text("replica") == last.Replica && other.Sub(sent).Abs() <= sameSend
+		return l.Message == answerLostMessage && l.Text("replica") == last.Replica && other.Sub(sent).Abs() <= sendTolerance
 	})
 }
 
-// causes are the lines on a lost replica, the most telling first.
-var causes = []string{"replica crashed while it was running requests", "replica thought down", "replica changed state", "replica gives no sign of life", "replica avoided: another host finds it down"}
+// lossMessages are the messages on a lost replica, the most specific first.
+var lossMessages = []string{"replica crashed while it was running requests", "replica thought down", "replica changed state", "replica gives no sign of life", "replica avoided: another host finds it down"}
 
-// evidence names the line that shows why a replica was lost.
-func evidence(r *logline.Request, near []logline.Line) string {
+// lossEvidence quotes the line that shows why a replica was lost.
+func lossEvidence(r *logline.Request, lines []logline.Line) string {
 	if r.Sends == 0 || !replicaLost(r) {
 		return ""
 	}
-	for _, message := range causes {
-		if l := find(near, message, r.LostReplica()); l != nil {
+	for _, message := range lossMessages {
+		if l := findLine(lines, message, r.LostReplica()); l != nil {
 			return "the line that shows it: " + l.String()
 		}
 	}
@@ -150,20 +153,20 @@
 	return ""
 }
 
-// replicaLost reports whether the caller got no whole answer because its replica, or
-// the link to it, gave none.
+// replicaLost reports whether the caller received no complete answer because the replica, or
+// the connection to it, did not deliver one.
 func replicaLost(r *logline.Request) bool {
 	switch r.Outcome {
 	case errkind.BackendLost.String():
 		return true
 	case errkind.CallerGone.String(), errkind.DeadlineExceeded.String():
-		return !r.Started()
+		return !r.AnswerStarted()
 	default:
 		return false
 	}
 }
 
-func find(lines []logline.Line, message, replica string) *logline.Line {
+func findLine(lines []logline.Line, message, replica string) *logline.Line {
 	for i := range lines {
 		if lines[i].Message == message && lines[i].Text("replica") == replica {
 			return &lines[i]
@@ -172,18 +175,19 @@
 	return nil
 }
 
-// oldWeights says that newer weights were wanted when the request came, as a line shows.
-func oldWeights(r *logline.Request, end, newer *logline.Line) string {
+// describeOldWeights says that newer weights were already wanted when the request arrived.
+func describeOldWeights(r *logline.Request, end, newer *logline.Line) string {
 	if r.Weights == 0 || r.Sends == 0 || newer == nil {
 		return ""
 	}
-	return fmt.Sprintf("on weights %d although %.0f were wanted %d ms before it came", r.Weights, newer.Number("version"), r.Began(end.At).Sub(newer.At)/time.Millisecond)
+	return fmt.Sprintf("on weights %d although %.0f were wanted %d ms before it came", r.Weights, newer.Number("version"), r.Arrival(end.At).Sub(newer.At)/time.Millisecond)
 }
 
-// configChanged says that another configuration came into force around the request.
-func configChanged(r *logline.Request, near []logline.Line) string {
-	for i := range near {
-		if l := &near[i]; l.Message == configInForce && int64(l.Number("version")) != r.Config {
+// describeConfigChange says that another configuration than the request's came into force
+// around the time of the request.
+func describeConfigChange(r *logline.Request, lines []logline.Line) string {
+	for i := range lines {
+		if l := &lines[i]; l.Message == configInForce && int64(l.Number("version")) != r.Config {
 			return fmt.Sprintf("decided by configuration %d; %.0f came into force at %s", r.Config, l.Number("version"), l.At.UTC().Format(time.RFC3339Nano))
 		}
 	}
--- a/internal/logline/logline.go
+++ b/internal/logline/logline.go
@@ -1,5 +1,5 @@
-// Package logline reads the hosts' structured logs back, as they were written or as
-// a collector has prefixed them.
+// Package logline parses the structured logs of hosts, either as they were written or
+// with the prefix that a log collector put before each line.
 package logline
 
 import (
@@ -18,14 +18,13 @@
 	"github.com/briarlink/briarlink/internal/obs"
 )
 
-// maxBytes bounds one line of a log.
-const maxBytes = 1 << 20
+// maxLineBytes is the maximum length of a log line.
+const maxLineBytes = 1 << 20
 
 // Line is one line of a host's log.
 type Line struct {
 	At time.Time
-	// Source is what a collector wrote before the line: mostly the host's name and a
-	// time of its own.
+	// Source is the name of the host, taken from the log collector's prefix; "" without one.
 	Source  string
 	Message string
 	Fields  map[string]any
@@ -33,58 +32,58 @@
 	raw []byte
 }
 
-// Try is one attempt of a request.
-type Try struct {
+// Attempt is one attempt at a request. Its fields are decoded under their Go names.
+type Attempt struct {
 	Replica string
 	Result  string
 	Reason  string
 	Ms      int64
 }
 
-// Request is what the line that ends a request says.
+// Request is the decoded line that ends a request.
 type Request struct {
-	ID           string  `json:"request"`
-	Outcome      string  `json:"outcome"`
-	Error        string  `json:"error"`
-	Route        string  `json:"route"`
-	Status       int     `json:"status"`
-	Replica      string  `json:"replica"`
-	Sends        int     `json:"sends"`
-	Ran          int     `json:"ran"`
-	Ms           float64 `json:"ms"`
-	FirstMs      float64 `json:"first_ms"`
-	ExpectedMs   float64 `json:"expected_ms"`
-	TargetMs     float64 `json:"target_ms"`
-	DeadlineMs   float64 `json:"deadline_ms"`
-	RetryAfterMs float64 `json:"retry_after_ms"`
-	Config       int64   `json:"config"`
-	ConfigAgeMs  float64 `json:"config_age_ms"`
-	Weights      int64   `json:"weights"`
-	Shared       int     `json:"shared"`
-	Cached       int     `json:"cached"`
-	Fetched      int     `json:"fetched"`
-	Digest       string  `json:"digest"`
-	Tries        []Try   `json:"tries"`
+	ID           string    `json:"request"`
+	Outcome      string    `json:"outcome"`
+	Error        string    `json:"error"`
+	Route        string    `json:"route"`
+	Status       int       `json:"status"`
+	Replica      string    `json:"replica"`
+	Sends        int       `json:"sends"`
+	Ran          int       `json:"ran"`
+	Ms           float64   `json:"ms"`
+	FirstMs      float64   `json:"first_ms"`
+	ExpectedMs   float64   `json:"expected_ms"`
+	TargetMs     float64   `json:"target_ms"`
+	DeadlineMs   float64   `json:"deadline_ms"`
+	RetryAfterMs float64   `json:"retry_after_ms"`
+	Config       int64     `json:"config"`
+	ConfigAgeMs  float64   `json:"config_age_ms"`
+	Weights      int64     `json:"weights"`
+	Shared       int       `json:"shared"`
+	Cached       int       `json:"cached"`
+	Fetched      int       `json:"fetched"`
+	Digest       string    `json:"digest"`
+	Tries        []Attempt `json:"tries"`
 }
 
-// Began returns when the request arrived, from the time of the line that ends it.
-func (r *Request) Began(end time.Time) time.Time {
+// Arrival returns when the request arrived, given the time of the line that ends it.
+func (r *Request) Arrival(end time.Time) time.Time {
 	return end.Add(-time.Duration(r.Ms * float64(time.Millisecond)))
 }
 
-// Late reports whether the answer came after the route's latency target.
+// Late reports whether the first event came later than the route's latency target.
 func (r *Request) Late() bool { return r.TargetMs > 0 && r.FirstMs > r.TargetMs }
 
-// Started reports whether the caller got the beginning of an answer: its first event may
-// have come within a millisecond, which the line calls 0.
-func (r *Request) Started() bool { return r.FirstMs > 0 || r.Status > 0 }
+// AnswerStarted reports whether the caller received the beginning of an answer. The time to
+// the first event alone does not tell: below one millisecond it is logged as 0.
+func (r *Request) AnswerStarted() bool { return r.FirstMs > 0 || r.Status > 0 }
 
-// resultLost is the result of an attempt whose replica, or the link to it, was lost after
-// the request was sent.
+// resultLost is the result of an attempt whose replica, or the connection to it, was lost
+// after the request was sent.
 const resultLost = "lost"
 
-// LostReplica returns the last replica that was lost with the request. It is not the last
-// one that was tried where others could not be reached after it.
+// LostReplica returns the last replica that was lost after the request was sent to it. It
+// differs from the last attempted replica if later ones could not be reached.
 func (r *Request) LostReplica() string {
 	for _, try := range slices.Backward(r.Tries) {
 		if try.Result == resultLost {
@@ -94,7 +93,7 @@
 	return r.Replica
 }
 
-// Replicas returns the replicas that the request was sent to.
+// Replicas returns the set of replicas that the request was attempted on.
 func (r *Request) Replicas() map[string]bool {
 	out := map[string]bool{}
 	for _, try := range r.Tries {
@@ -106,8 +105,7 @@
 	return out
 }
 
-// Object returns the JSON object in a line, without what a collector wrote before
-// it.
+// Object splits a line into the log collector's prefix and the JSON object.
 func Object(line []byte) (prefix, object []byte) {
 	start := bytes.IndexByte(line, '{')
 	if start < 0 {
@@ -118,15 +116,16 @@
 
 // Logs are the logs of all hosts.
 type Logs interface {
-	// Each calls f for each line as it stands there, from the beginning each time. f
-	// must not keep it; an error of f ends the reading.
+	// Each calls f for each line, unparsed. Every call of Each starts at the beginning of
+	// the logs. f must not retain the line; an error of f stops the iteration.
 	Each(f func(text []byte) error) error
 }
 
-// Each calls f for each line of a log as it stands there. f must not keep it.
+// Each calls f for each line of a log, unparsed. f must not retain the line; an error of f
+// stops the iteration.
 func Each(r io.Reader, f func(text []byte) error) error {
 	scanner := bufio.NewScanner(r)
-	scanner.Buffer(nil, maxBytes)
+	scanner.Buffer(nil, maxLineBytes)
 	for scanner.Scan() {
 		if err := f(scanner.Bytes()); err != nil {
 			return err
@@ -135,14 +134,15 @@
 	return errors.Wrap(scanner.Err(), "read a log")
 }
 
-// MayHold reports whether a line can hold a word that JSON need not escape. It costs a
-// thirtieth of decoding the line's head (BenchmarkLine), and is wrong only by saying yes.
+// MayHold reports whether a line may contain a word that JSON need not escape. It may return
+// true for a line without the word, but never false for a line with it. It takes a thirtieth
+// of the time of ParseHead (BenchmarkLine), so it serves as a filter before decoding.
 func MayHold(text []byte, word string) bool {
 	return bytes.Contains(text, []byte(word)) || bytes.IndexByte(text, '\\') >= 0
 }
 
-// Head is what tells whether a line is of interest. Decoding no more than this takes
-// a quarter of the time and a tenth of the memory of a whole line (BenchmarkLine).
+// Head holds the fields that decide whether a line is of interest. Decoding only these
+// takes a quarter of the time and a tenth of the memory of Parse (BenchmarkLine).
 type Head struct {
 	At      time.Time
 	Message string
@@ -152,16 +152,16 @@
 	prefix  []byte
 }
 
-// ParseHead decodes a line's head; what is no line of a host is not ok. The head is
-// good until the text changes.
+// ParseHead decodes a line's head; ok is false if text is not a log line of a host. The
+// head is valid until text is modified.
 func ParseHead(text []byte) (h Head, ok bool) {
 	prefix, object := Object(text)
-	// Any type is taken: a field of another one than expected is left empty.
+	// Fields of any type are accepted; one that is not a string is left empty in the head.
 	var fields struct{ Time, Msg, Request, Replica, Digest any }
 	if object == nil || json.Unmarshal(object, &fields) != nil {
 		return h, false
 	}
-	at, ok := stamp(fields.Time)
+	at, ok := parseTime(fields.Time)
 	h = Head{At: at, prefix: prefix}
 	h.Message, _ = fields.Msg.(string)
 	h.Request, _ = fields.Request.(string)
@@ -170,41 +170,43 @@
 	return h, ok
 }
 
-// Source returns what a Line calls so.
+// Source returns the name of the host, as in Line.Source.
 func (h *Head) Source() string { return source(string(h.prefix)) }
 
-// stamp returns the time in a field.
-func stamp(field any) (time.Time, bool) {
+// parseTime returns the time in a field.
+func parseTime(field any) (time.Time, bool) {
 	text, _ := field.(string)
 	at, err := time.Parse(time.RFC3339Nano, text)
 	return at, err == nil
 }
 
-// Parse decodes a whole line; what is no line of a host is not ok.
+// Parse decodes all fields of a line; ok is false if text is not a log line of a host.
 func Parse(text []byte) (l Line, ok bool) {
 	prefix, object := Object(text)
 	l.Fields = map[string]any{}
 	if object == nil || json.Unmarshal(object, &l.Fields) != nil {
 		return l, false
 	}
-	l.At, ok = stamp(l.Fields["time"])
+	l.At, ok = parseTime(l.Fields["time"])
 	l.Source = source(string(prefix))
 	l.Message, _ = l.Fields["msg"].(string)
 	l.raw = bytes.Clone(object)
 	return l, ok
 }
 
-// End is what the line that ends a request says, and when it was written.
+// End is the line that ends a request, and when it was written.
 type End struct {
 	Request
 	At     time.Time
 	prefix []byte
 }
 
-// Source returns what a Line calls so. It is good until the text changes.
+// Source returns the name of the host, as in Line.Source. It must be called before the
+// parsed text is modified.
 func (e *End) Source() string { return source(string(e.prefix)) }
 
-// ParseEnd decodes a line that ends a request, or returns nil for another one.
+// ParseEnd decodes a line that ends a request. It returns nil for any other line, and an
+// error for a line that ends a request but has a field of the wrong type.
 func ParseEnd(text []byte) (*End, error) {
 	prefix, object := Object(text)
 	if object == nil || !MayHold(object, strconv.Quote(obs.RequestMessage)) {
@@ -215,7 +217,7 @@
 		Request
 	}
 	err := json.Unmarshal(object, &fields)
-	at, ok := stamp(fields.Time)
+	at, ok := parseTime(fields.Time)
 	if !ok || fields.Msg != obs.RequestMessage {
 		return nil, nil
 	}
@@ -229,14 +231,13 @@
 	return &End{fields.Request, at, prefix}, nil
 }
 
-// Sort orders lines by time. Those of one moment stay in the order in which they were
-// read.
+// Sort orders lines by time. Lines with equal times keep their order.
 func Sort(lines []Line) {
 	slices.SortStableFunc(lines, func(a, b Line) int { return a.At.Compare(b.At) })
 }
 
-// source returns the last word of a prefix that is no number: the host's name, where
-// a collector writes times before it.
+// source returns the host's name from a collector's prefix: the last word that contains a
+// letter, as collectors also write times there.
 func source(prefix string) string {
 	words := strings.Fields(prefix)
 	for i := len(words) - 1; i >= 0; i-- {
@@ -249,36 +250,37 @@
 
 func isLetter(r rune) bool { return r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' }
 
-// Text returns a field's text, or "".
+// Text returns the value of a string field, or "".
 func (l *Line) Text(field string) string {
 	s, _ := l.Fields[field].(string)
 	return s
 }
 
-// Number returns a field's number, or 0.
+// Number returns the value of a numeric field, or 0.
 func (l *Line) Number(field string) float64 {
 	n, _ := l.Fields[field].(float64)
 	return n
 }
 
-// Request returns what the line that ends a request says.
+// Request decodes the fields of a line that ends a request.
 func (l *Line) Request() (Request, error) {
 	var r Request
 	err := json.Unmarshal(l.raw, &r)
 	return r, errors.Wrap(err, "decode a request's line")
 }
 
-// String renders the line as time, source, message and its other fields by name.
+// String formats the line as time, source, message and the other fields sorted by name.
 func (l *Line) String() string {
 	out := l.At.UTC().Format(time.RFC3339Nano) + "  "
 	if l.Source != "" {
 		out += l.Source + "  "
 	}
-	return out + l.Said()
+	return out + l.Content()
 }
 
-// Said renders the line's message and its fields by name, without time and source.
-func (l *Line) Said() string {
+// Content formats the line's message and its fields sorted by name. It omits time, level
+// and source, which differ between hosts that log the same event.
+func (l *Line) Content() string {
 	var names []string
 	for name := range l.Fields {
 		if name != "time" && name != "msg" && name != "level" {
--- a/internal/logline/logline_test.go
+++ b/internal/logline/logline_test.go
@@ -6,8 +6,8 @@
 	"github.com/briarlink/briarlink/internal/replica"
 )
 
-// TestHeadsAndLinesAgree: what is left out by its head must not be what the whole line
-// would have told, whatever the types of its fields.
+// TestHeadsAndLinesAgree: lines are filtered by their head, so the head must have the same
+// values as the fully parsed line, whatever the types of its fields.
 func TestHeadsAndLinesAgree(t *testing.T) {
 	for _, text := range []string{
 		`1.0 edge-1 {"msg":"request","request":"r-1","replica":"i-1","time":"2026-06-01T10:00:00.5Z"}`,
@@ -34,8 +34,8 @@
 	}
 }
 
-// TestEnds: only whole lines that end requests are ends; one of them with a field of a
-// wrong type is an error, as its request would be missing from every sum.
+// TestEnds: ParseEnd accepts only complete lines that end requests. A field of the wrong type
+// is an error, because the request would otherwise be missing from every report.
 func TestEnds(t *testing.T) {
 	for text, want := range map[string]struct{ end, err bool }{
 		`edge-1 {"msg":"request","request":"r-1","ms":3,"time":"2026-06-01T10:00:00Z"}`: {end: true},
@@ -59,7 +59,8 @@
 	}
 }
 
-// TestMayHold is wrong only by saying yes.
+// TestMayHold: MayHold returns true for lines that contain the word, and for those that may
+// contain it with escaped characters.
 func TestMayHold(t *testing.T) {
 	for text, want := range map[string]bool{
 		`{"request":"r-1"}`:      true,
@@ -72,14 +73,14 @@
 	}
 }
 
-// BenchmarkLine says what each way to look at a line costs, for one of 480 bytes that
-// ends another request.
+// BenchmarkLine measures each way to inspect a line, on a line of 480 bytes that ends a
+// request other than the one searched for.
 func BenchmarkLine(b *testing.B) {
 	text := []byte(`0.221 edge-zone-000 {"cached":1744,"config":7,"config_age_ms":111,"deadline_ms":3000,"expected_ms":303,"fetched":0,"first_ms":306,` +
 		`"level":"info","ms":890,"msg":"request","organisation":"org-1248","outcome":"ok","prefix":"pb653ce","prompt":9957,"ran":1,` +
 		`"replica":"i-00025","request":"0000000000000000","route":"reports","salt":"s","sends":1,"shared":9000,"sink":"","source":"",` +
 		`"state":"complete","status":200,"target_ms":400,"weights":1,"time":"2026-06-01T10:00:00.220653748Z"}`)
-	for name, look := range map[string]func(){
+	for name, inspect := range map[string]func(){
 		"MayHold":   func() { MayHold(text, "r-lost") },
 		"ParseHead": func() { ParseHead(text) },
 		"ParseEnd":  func() { _, _ = ParseEnd(text) },
@@ -88,23 +89,23 @@
 		b.Run(name, func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				look()
+				inspect()
 			}
 		})
 	}
 }
 
-// TestLostReplica: where the replicas tried after the lost one could not be reached, the
-// lost one is the cause, although the line's replica is the last.
+// TestLostReplica: if the replicas attempted after the lost one could not be reached, the
+// lost one is the cause of the failure, although the line names the last one.
 func TestLostReplica(t *testing.T) {
 	lost := replica.Lost.String()
 	for want, r := range map[string]Request{
-		"i-1": {Replica: "i-2", Tries: []Try{{Replica: "i-1", Result: lost}, {Replica: "i-2", Result: "unreachable"}}},
-		"i-2": {Replica: "i-2", Tries: []Try{{Replica: "i-1", Result: lost}, {Replica: "i-2", Result: lost}}},
+		"i-1": {Replica: "i-2", Tries: []Attempt{{Replica: "i-1", Result: lost}, {Replica: "i-2", Result: "unreachable"}}},
+		"i-2": {Replica: "i-2", Tries: []Attempt{{Replica: "i-1", Result: lost}, {Replica: "i-2", Result: lost}}},
 		"i-3": {Replica: "i-3"},
 	} {
 		if got := r.LostReplica(); got != want {
-			t.Errorf("%s was lost, want %s", got, want)
+			t.Errorf("lost replica is %s, want %s", got, want)
 		}
 	}
 }
