--- a/internal/logreport/distribution.go
+++ b/internal/logreport/distribution.go
@@ -6,12 +6,12 @@
 	"slices"
 )
 
-// distribution counts values by whole milliseconds, in which they are shown, so that
-// percentiles are exact. It grows with the different values, which deadlines bound, and
-// not with the requests.
+// distribution is a histogram with one bucket for each whole millisecond. As reports show
+// whole milliseconds, its percentiles are exact. Its size depends on the number of different
+// values, which is limited by the requests' deadlines, not on the number of requests.
 type distribution struct {
 	total int
-	// counts are in order of their values.
+	// counts is sorted by value.
 	counts []count
 }
 
@@ -19,18 +19,19 @@
 
 func (d *distribution) add(ms float64) {
 	d.total++
-	whole := int(math.RoundToEven(ms))
-	i, known := slices.BinarySearchFunc(d.counts, whole, func(c count, ms int) int { return cmp.Compare(c.ms, ms) })
+	rounded := int(math.RoundToEven(ms))
+	i, known := slices.BinarySearchFunc(d.counts, rounded, func(c count, ms int) int { return cmp.Compare(c.ms, ms) })
 	if !known {
-		d.counts = slices.Insert(d.counts, i, count{ms: whole})
+		d.counts = slices.Insert(d.counts, i, count{ms: rounded})
 	}
 	d.counts[i].n++
 }
 
-// percentile returns the value of the nearest rank in milliseconds, or 0 without values.
+// percentile returns a percentile in milliseconds by the nearest-rank method, or 0 without
+// values.
 func (d *distribution) percentile(percent int) int {
-	const whole = 100
-	rank := (d.total*percent + whole - 1) / whole
+	const hundred = 100
+	rank := (d.total*percent + hundred - 1) / hundred
 	for _, c := range d.counts {
 		rank -= c.n
 		if rank <= 0 {
--- a/internal/logreport/distribution_test.go
+++ b/internal/logreport/distribution_test.go
@@ -13,8 +13,8 @@
 	"github.com/briarlink/briarlink/internal/logline"
 )
 
-// TestPercentilesAreExact: counts by whole milliseconds show the same percentile of the
-// nearest rank as all values in order.
+// TestPercentilesAreExact: percentiles of the histogram equal the nearest-rank percentiles
+// of the sorted values, rounded to whole milliseconds.
 func TestPercentilesAreExact(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		values := rapid.SliceOfN(rapid.Float64Range(0, 3000), 1, 200).Draw(t, "values")
@@ -34,11 +34,12 @@
 func TestPercentileOfNothing(t *testing.T) {
 	var d distribution
 	if got := d.percentile(90); got != 0 {
-		t.Errorf("it is %d", got)
+		t.Errorf("percentile is %d, want 0", got)
 	}
 }
 
-// TestIntervalsAreInOrder although hosts' logs are read one after the other.
+// TestIntervalsAreInOrder: intervals are sorted by time although the hosts' logs, which cover
+// the same time, are read one after the other.
 func TestIntervalsAreInOrder(t *testing.T) {
 	report, err := New(2 * time.Second)
 	if err != nil {
@@ -59,7 +60,7 @@
 	}
 	for i := range intervals {
 		if got := intervals[i].From.Second(); got != 2*i || intervals[i].Asked() != 4 {
-			t.Errorf("interval %d is from second %d, of %d requests", i, got, intervals[i].Asked())
+			t.Errorf("interval %d begins at second %d and has %d requests", i, got, intervals[i].Asked())
 		}
 	}
 }
--- a/internal/logreport/grouping.go
+++ b/internal/logreport/grouping.go
@@ -6,25 +6,25 @@
 	"github.com/briarlink/briarlink/internal/logline"
 )
 
-// Grouping is what the requests of an interval are told apart by.
+// Grouping says whether the requests of an interval are reported in groups.
 type Grouping string
 
-// Groupings. A route or a zone in trouble shows by itself, where the sum of a large fleet
-// is mostly its most frequent route.
+// Groupings. Groups show problems of a single route or zone. In the totals of a large fleet
+// the most frequent route hides them.
 const (
 	Together Grouping = ""
 	ByRoute  Grouping = "route"
 	ByZone   Grouping = "zone"
 )
 
-// startedMessage is that of the line in which a host says where it is.
+// startedMessage is the message of the line that states a host's availability zone.
 const startedMessage = "started"
 
-// unknown is the group of requests whose lines do not say it: a request that matched no
-// route, or a host whose line "started" is not among the logs, or without its name before it.
+// unknown is the group of requests whose group cannot be determined: those without a route,
+// and those of hosts whose "started" line is missing or has no host name before it.
 const unknown = "unknown"
 
-// key tells intervals apart: their start in Unix nanoseconds, and the group.
+// key identifies an interval by its start in Unix nanoseconds and its group.
 type key struct {
 	from  int64
 	group string
@@ -46,8 +46,8 @@
 	}
 }
 
-// learnZone keeps the zone of a host that has started.
-func (r *Report) learnZone(text []byte) {
+// recordZone records the availability zone of a host from its "started" line.
+func (r *Report) recordZone(text []byte) {
 	if r.by != ByZone || !logline.MayHold(text, startedMessage) {
 		return
 	}
--- a/internal/logreport/logreport.go
+++ b/internal/logreport/logreport.go
@@ -1,6 +1,6 @@
-// Package logreport sums what the hosts' logs say of requests over time: what became
-// of them and by which cause, how much of shared prompts was held, and how the first
-// events came against what was expected.
+// Package logreport summarises the requests in the logs of hosts over time: results and
+// their causes, the cache hit rate of shared prompt prefixes, and the actual and expected
+// times to the first event.
 package logreport
 
 import (
@@ -18,48 +18,50 @@
 	"github.com/briarlink/briarlink/internal/obs"
 )
 
-// Result is what became of a request, as callers see it.
+// Result classifies how a request ended, as seen by its caller.
 type Result int
 
 // Results, in the order in which they are shown.
 const (
-	// Served in time, or without a known target.
+	// Served requests were answered within the route's latency target, or have no known
+	// target.
 	Served Result = iota
-	// Late answers were whole, but came after the route's latency target.
+	// Late requests were answered after the route's latency target.
 	Late
-	// Refused requests have not run.
+	// Refused requests were rejected without being run, and may be retried.
 	Refused
-	// Denied requests are not allowed or malformed.
+	// Denied requests were rejected without being run, and a retry is of no use, as for
+	// malformed ones or those without a valid API key.
 	Denied
-	// Failed requests got no whole answer, or a replica's own failure.
+	// Failed requests got no complete answer, or an error from the replica.
 	Failed
-	// Left are requests whose callers gave up.
+	// Left are requests whose callers closed the connection.
 	Left
 	results
 )
 
-// String returns the result's name.
+// String returns the name of the result.
 func (r Result) String() string {
 	return [...]string{"served", "late", "refused", "denied", "failed", "left"}[r]
 }
 
-// Interval sums the requests that ended within a span of time.
+// Interval summarises the requests that ended within an interval of time.
 type Interval struct {
 	From time.Time
-	// Group is the route or zone whose requests these are, where they are told apart.
+	// Group is the route or zone of these requests; empty without grouping.
 	Group  string
 	Counts [results]int
-	// Causes counts by error kind the requests that got no answer of a replica, or a failure.
+	// Causes counts, by error kind, the requests that were neither served nor late.
 	Causes map[string]int
-	// Shared tokens were asked for; Held of them were expected at the replica or
-	// fetched.
+	// Shared is the number of prompt tokens in shared prefixes; Held of them were expected
+	// to be in the replica's cache or to be fetched.
 	Shared int
 	Held   int
 
 	firsts, expected distribution
 }
 
-// Asked returns the number of requests.
+// Asked returns the total number of requests.
 func (i *Interval) Asked() int {
 	n := 0
 	for _, c := range i.Counts {
@@ -68,7 +70,7 @@
 	return n
 }
 
-// HitRate returns the share of shared tokens that were held, or 0 without any.
+// HitRate returns the fraction of shared tokens that were held, or 0 without shared tokens.
 func (i *Interval) HitRate() float64 {
 	if i.Shared == 0 {
 		return 0
@@ -76,20 +78,20 @@
 	return float64(i.Held) / float64(i.Shared)
 }
 
-// Report sums the lines that end requests by intervals. It keeps the intervals alone,
-// whatever the number and the order of the lines.
+// Report summarises the lines that end requests by intervals. It keeps only the intervals in
+// memory, whatever the number and order of the lines.
 type Report struct {
 	step      time.Duration
 	by        Grouping
 	intervals map[key]*Interval
-	// zones are those of the hosts that have started, by the name before their lines.
+	// zones maps the host name in front of a line to the host's availability zone.
 	zones map[string]string
 }
 
-// New returns an empty report with intervals of a length.
+// New returns an empty report with intervals of length step.
 func New(step time.Duration) (*Report, error) { return NewGrouped(step, Together) }
 
-// NewGrouped returns an empty report with an interval for each group.
+// NewGrouped returns an empty report with separate intervals for each group.
 func NewGrouped(step time.Duration, by Grouping) (*Report, error) {
 	if step <= 0 {
 		return nil, errors.New("intervals must be longer than 0")
@@ -97,20 +99,20 @@
 	return &Report{step: step, by: by, intervals: map[key]*Interval{}, zones: map[string]string{}}, nil
 }
 
-// Add takes a line of a log as it stands there.
+// Add adds an unparsed log line. Only lines that end a request are counted.
 func (r *Report) Add(text []byte) error {
-	r.learnZone(text)
+	r.recordZone(text)
 	end, err := logline.ParseEnd(text)
 	if err != nil || end == nil {
 		return err
 	}
-	r.at(end.At, r.group(end)).add(&end.Request)
+	r.interval(end.At, r.group(end)).add(&end.Request)
 	return nil
 }
 
-// at returns the interval of a moment and a group.
-func (r *Report) at(moment time.Time, group string) *Interval {
-	from := moment.Truncate(r.step)
+// interval returns the interval of a group that contains a time, creating it if necessary.
+func (r *Report) interval(t time.Time, group string) *Interval {
+	from := t.Truncate(r.step)
 	k := key{from.UnixNano(), group}
 	i := r.intervals[k]
 	if i == nil {
@@ -120,7 +122,7 @@
 	return i
 }
 
-// Intervals returns those with a request, in order of time, then of groups.
+// Intervals returns the intervals with at least one request, sorted by time, then by group.
 func (r *Report) Intervals() []Interval {
 	var out []Interval
 	for _, k := range slices.SortedFunc(maps.Keys(r.intervals), key.compare) {
@@ -145,6 +147,7 @@
 	}
 }
 
+// resultOf classifies a request.
 func resultOf(r *logline.Request) Result {
 	kind, isError := errkind.ByName(r.Outcome)
 	switch {
@@ -165,10 +168,10 @@
 	}
 }
 
-// Table writes the intervals as a table.
+// Table writes the intervals as a table without groups.
 func Table(w io.Writer, intervals []Interval) error { return GroupTable(w, Together, intervals) }
 
-// GroupTable writes the intervals as a table that names their groups.
+// GroupTable writes the intervals as a table with a column for their groups, if any.
 func GroupTable(w io.Writer, by Grouping, intervals []Interval) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprint(t, "from\t")
@@ -181,12 +184,12 @@
 	}
 	fmt.Fprintln(t, "hit rate\tfirst p50\tp90\texpected p50\tp90 ms\tcauses")
 	for i := range intervals {
-		row(t, by, &intervals[i])
+		writeRow(t, by, &intervals[i])
 	}
 	return errors.Wrap(t.Flush(), "write a report")
 }
 
-func row(w io.Writer, by Grouping, i *Interval) {
+func writeRow(w io.Writer, by Grouping, i *Interval) {
 	fmt.Fprintf(w, "%s\t", i.From.UTC().Format("15:04:05.0"))
 	if by != Together {
 		fmt.Fprintf(w, "%s\t", i.Group)
@@ -196,11 +199,11 @@
 		fmt.Fprintf(w, "%d\t", c)
 	}
 	fmt.Fprintf(w, "%.2f\t%d\t%d\t%d\t%d\t%s\n", i.HitRate(),
-		i.firsts.percentile(50), i.firsts.percentile(90), i.expected.percentile(50), i.expected.percentile(90), causes(i.Causes))
+		i.firsts.percentile(50), i.firsts.percentile(90), i.expected.percentile(50), i.expected.percentile(90), formatCauses(i.Causes))
 }
 
-// causes lists error kinds, the most frequent first.
-func causes(counts map[string]int) string {
+// formatCauses lists error kinds with their counts, the most frequent first.
+func formatCauses(counts map[string]int) string {
 	var names []string
 	for name := range counts {
 		names = append(names, name)
--- a/internal/logreport/logreport_test.go
+++ b/internal/logreport/logreport_test.go
@@ -11,7 +11,7 @@
 	"github.com/briarlink/briarlink/internal/logline"
 )
 
-// log has one request of each result, and lines that end none.
+// log has at least one request with each result, and lines that end no request.
 const log = `starting
 1.0 edge-1 {"level":"info","msg":"started","time":"2026-06-01T10:00:00Z"}
 1.0 edge-1 {"level":"info","msg":"request","request":"r-1","outcome":"ok","ms":900,"first_ms":100,"expected_ms":90,"target_ms":400,"sends":1,"ran":1,"shared":1000,"cached":600,"fetched":400,"time":"2026-06-01T10:00:00.5Z"}
@@ -54,16 +54,16 @@
 	}
 }
 
-// TestDenialsHaveACause: a key that is taken away and a route that is not there call for
-// different looks. On a day of 295 hosts one request in eight was denied, and the report gave
-// no cause for any.
+// TestDenialsHaveACause: denied requests are counted by cause too, because a revoked key and a
+// missing route call for different actions. In the logs of a fleet of 295 hosts one request in
+// eight was denied, and a report without causes did not say why.
 func TestDenialsHaveACause(t *testing.T) {
 	if got := build(t)[1].Causes["not_found"]; got != 1 {
 		t.Errorf("%d denials with a cause, want 1", got)
 	}
 }
 
-// TestDrawings keeps the table and the drawing.
+// TestDrawings compares the table and the SVG drawing with golden files.
 func TestDrawings(t *testing.T) {
 	var table, drawing bytes.Buffer
 	if err := Table(&table, build(t)); err != nil {
@@ -74,7 +74,8 @@
 	goldie.New(t).Assert(t, "drawing", drawing.Bytes())
 }
 
-// grouped has the requests of two routes on hosts of two zones; nothing says where edge-9 is.
+// grouped has requests for two routes on hosts in two zones, and one on edge-9, whose zone is
+// unknown.
 const grouped = `1.0 edge-1 {"host":"edge-1","level":"info","msg":"started","time":"2026-06-01T10:00:00Z","zone":"a"}
 1.0 edge-2 {"host":"edge-2","level":"info","msg":"started","time":"2026-06-01T10:00:00Z","zone":"b"}
 1.0 edge-1 {"level":"info","msg":"request","request":"r-1","outcome":"ok","route":"reports","ms":90,"first_ms":50,"target_ms":400,"sends":1,"ran":1,"time":"2026-06-01T10:00:00.5Z"}
@@ -83,9 +84,10 @@
 1.0 edge-9 {"level":"warning","msg":"request","request":"r-4","outcome":"overloaded","ms":1,"sends":0,"ran":0,"time":"2026-06-01T10:00:02.5Z"}
 `
 
-// TestGroups: one route or zone in trouble shows beside the others. In the sum over a large
-// fleet the most frequent route hides it: of a day of 295 hosts, one route has two thirds of
-// all requests. A zone is that of the host's line "started", found by the name before a line.
+// TestGroups: reports by route or zone show the problems of a single one. In the totals of a
+// large fleet the most frequent route hides them: with 295 hosts, one route has two thirds of
+// all requests. The zone of a request is taken from its host's "started" line; the host is
+// the name in front of each line.
 func TestGroups(t *testing.T) {
 	for _, by := range []Grouping{ByRoute, ByZone} {
 		report, err := NewGrouped(2*time.Second, by)
--- a/internal/logreport/svg.go
+++ b/internal/logreport/svg.go
@@ -7,7 +7,7 @@
 	svg "github.com/ajstarks/svgo"
 )
 
-// Sizes of the drawing, in pixels.
+// Dimensions of the drawing, in pixels.
 const (
 	width     = 960
 	height    = 360
@@ -15,36 +15,35 @@
 	legendRow = 18
 )
 
-// colours of the results, from good to bad.
+// colours are the bar colours of the results, in their order.
 var colours = [results]string{"#4c9f70", "#e9c46a", "#5b8bd0", "#b0b0b0", "#c0392b", "#8e6bbf"}
 
-// SVG draws what became of requests over time as stacked bars, and the share of
-// shared tokens that was held as a line.
+// SVG draws the results of requests over time as stacked bars, and the hit rate as a line.
 func SVG(w io.Writer, intervals []Interval) {
 	canvas := svg.New(w)
 	canvas.Start(width, height)
 	defer canvas.End()
 	canvas.Rect(0, 0, width, height, "fill:white")
-	most := 1
+	peak := 1
 	for i := range intervals {
-		most = max(most, intervals[i].Asked())
+		peak = max(peak, intervals[i].Asked())
 	}
 	bar := float64(width-2*margin) / float64(max(1, len(intervals)))
 	for i := range intervals {
-		stack(canvas, &intervals[i], margin+int(float64(i)*bar), max(1, int(bar)-1), most)
+		drawStack(canvas, &intervals[i], margin+int(float64(i)*bar), max(1, int(bar)-1), peak)
 	}
-	hitRate(canvas, intervals, bar)
-	legend(canvas, most)
-	axis(canvas, intervals, bar)
+	drawHitRate(canvas, intervals, bar)
+	drawLegend(canvas, peak)
+	drawAxis(canvas, intervals, bar)
 }
 
-// plotHeight is what is left for bars.
+// plotHeight is the height of the tallest bar.
 const plotHeight = height - 2*margin
 
-func stack(canvas *svg.SVG, i *Interval, x, w, most int) {
+func drawStack(canvas *svg.SVG, i *Interval, x, w, peak int) {
 	y := height - margin
 	for r, count := range i.Counts {
-		h := count * plotHeight / most
+		h := count * plotHeight / peak
 		if h == 0 {
 			continue
 		}
@@ -53,7 +52,7 @@
 	}
 }
 
-func hitRate(canvas *svg.SVG, intervals []Interval, bar float64) {
+func drawHitRate(canvas *svg.SVG, intervals []Interval, bar float64) {
 	var xs, ys []int
 	for i := range intervals {
 		if intervals[i].Shared == 0 {
@@ -67,7 +66,7 @@
 	}
 }
 
-func legend(canvas *svg.SVG, most int) {
+func drawLegend(canvas *svg.SVG, peak int) {
 	x := margin
 	for r := range results {
 		canvas.Rect(x, legendRow-10, 10, 10, "fill:"+colours[r])
@@ -75,13 +74,13 @@
 		x += 80
 	}
 	canvas.Line(x, legendRow-5, x+10, legendRow-5, "stroke:black;stroke-width:2")
-	canvas.Text(x+14, legendRow, fmt.Sprintf("shared tokens held (top: all; bars: %d requests)", most), "font-size:12px")
+	canvas.Text(x+14, legendRow, fmt.Sprintf("shared tokens held (top: all; bars: %d requests)", peak), "font-size:12px")
 }
 
-// labels is the number of times on the axis.
+// labels is the approximate number of time labels on the axis.
 const labels = 8
 
-func axis(canvas *svg.SVG, intervals []Interval, bar float64) {
+func drawAxis(canvas *svg.SVG, intervals []Interval, bar float64) {
 	canvas.Line(margin, height-margin, width-margin, height-margin, "stroke:black")
 	every := max(1, len(intervals)/labels)
 	for i := 0; i < len(intervals); i += every {
