--- a/cmd/briarlink/admin.go
+++ b/cmd/briarlink/admin.go
@@ -100,13 +100,13 @@
 	})
 }
 
-// show asks the host and prints its answer on standard output.
+// show queries the host and prints its response on standard output.
 func (a *adminCmd) show(only func(*pb.StatusResponse), table func(io.Writer, *pb.StatusResponse)) error {
 	return a.print(context.Background(), os.Stdout, only, table)
 }
 
-// print asks the host and prints its answer as a table, or what only leaves of it as
-// JSON.
+// print queries the host and prints its response as a table, or as JSON after only has
+// removed the parts that the command does not show.
 func (a *adminCmd) print(ctx context.Context, out io.Writer, only func(*pb.StatusResponse), table func(io.Writer, *pb.StatusResponse)) error {
 	ctx, cancel := context.WithTimeout(ctx, a.Timeout)
 	defer cancel()
@@ -130,7 +130,7 @@
 	fmt.Fprintf(w, "lease\t%s\tfencing token %d\theld here: %t\n", s.Lease.GetHolder(), s.Lease.GetFencingToken(), s.Lease.GetHeldHere())
 }
 
-// printWeights counts the backend servers by the weights that they hold.
+// printWeights prints the number of backend servers that hold each weights version.
 func printWeights(w io.Writer, s *pb.StatusResponse) {
 	counts := map[string]int{}
 	for _, r := range s.Replicas {
--- a/cmd/briarlink/explain.go
+++ b/cmd/briarlink/explain.go
@@ -16,16 +16,16 @@
 func (c *explainCmd) Run() error {
 	logs := newLogFiles(c.Files)
 	defer logs.Close()
-	// The story takes two readings.
-	if err := logs.keep(); err != nil {
+	// explain.Request reads the logs twice.
+	if err := logs.spool(); err != nil {
 		return err
 	}
-	story, err := explain.Request(c.Request, logs, c.All)
+	explanation, err := explain.Request(c.Request, logs, c.All)
 	if err != nil {
 		return err
 	}
-	fmt.Println(story.Verdict)
-	for _, l := range story.Lines {
+	fmt.Println(explanation.Verdict)
+	for _, l := range explanation.Lines {
 		fmt.Println(l.String())
 	}
 	return nil
--- a/cmd/briarlink/logfiles.go
+++ b/cmd/briarlink/logfiles.go
@@ -9,20 +9,21 @@
 	"github.com/briarlink/briarlink/internal/logline"
 )
 
-// stdinName stands for standard input among log files.
+// stdinName is the file name that means standard input.
 const stdinName = "-"
 
-// logFiles are the log files of all hosts. They are read one after the other, a line at
-// a time, so that neither their number nor their size takes memory.
+// logFiles are the log files of all hosts. They are read one after the other and line by
+// line, so that memory use does not depend on their number and size.
 type logFiles struct {
 	names []string
-	// copies stand for what can be read only once, by name.
+	// copies are spooled copies of inputs that can be read only once, by name.
 	copies map[string]*os.File
-	// again is set once they were read.
+	// again is set by the first call of Each.
 	again bool
 }
 
-// newLogFiles returns log files, or standard input without any. Close them.
+// newLogFiles returns the named log files, or standard input if there are none. Close
+// releases them.
 func newLogFiles(names []string) *logFiles {
 	if len(names) == 0 {
 		names = []string{stdinName}
@@ -30,25 +31,25 @@
 	return &logFiles{names: names, copies: map[string]*os.File{}}
 }
 
-// Close forgets the copies.
+// Close removes the spooled copies.
 func (l *logFiles) Close() {
 	for _, file := range l.copies {
 		file.Close()
 	}
 }
 
-// Each implements logline.Logs, and tells of its progress on standard error.
+// Each implements logline.Logs and prints its progress on standard error.
 func (l *logFiles) Each(f func(text []byte) error) error {
 	total, err := l.size()
 	if err != nil {
 		return err
 	}
-	what := "reading logs"
+	task := "reading logs"
 	if l.again {
-		what = "reading logs again"
+		task = "reading logs again"
 	}
 	l.again = true
-	p := newProgress(os.Stderr, what, total)
+	p := newProgress(os.Stderr, task, total)
 	for _, name := range l.names {
 		if err := l.eachLine(name, p, f); err != nil {
 			return err
@@ -66,8 +67,8 @@
 	return errors.Wrap(logline.Each(p.reader(file), f), name)
 }
 
-// size returns how many bytes the files have together, 0 if one of them has no size. A
-// file that is not there is found before any is read.
+// size returns the total size of the files in bytes, or 0 if one of them has no known size.
+// It fails if a file is missing, before any of them is read.
 func (l *logFiles) size() (total int64, err error) {
 	sized := true
 	for _, name := range l.names {
@@ -84,7 +85,7 @@
 	return total, nil
 }
 
-// stat returns whether a log is a regular file, and its size.
+// stat returns whether a log, or its spooled copy, is a regular file, and its size.
 func (l *logFiles) stat(name string) (regular bool, size int64, err error) {
 	var info os.FileInfo
 	switch file := l.copies[name]; {
@@ -101,7 +102,7 @@
 	return info.Mode().IsRegular(), info.Size(), nil
 }
 
-// open opens a log at its beginning.
+// open opens a log, or its spooled copy, at the beginning.
 func (l *logFiles) open(name string) (io.ReadCloser, error) {
 	if file := l.copies[name]; file != nil {
 		_, err := file.Seek(0, io.SeekStart)
@@ -114,8 +115,9 @@
 	return file, errors.Wrap(err, "open a log")
 }
 
-// keep copies pipes and standard input, so that the logs can be read more than once.
-func (l *logFiles) keep() error {
+// spool copies pipes and standard input to temporary files, so that the logs can be read
+// more than once.
+func (l *logFiles) spool() error {
 	for _, name := range l.names {
 		regular, _, err := l.stat(name)
 		if err != nil {
@@ -131,7 +133,7 @@
 	return nil
 }
 
-// copy copies a log into a file without a name, which is gone with the process.
+// copy copies a log into an unlinked temporary file, which disappears with the process.
 func (l *logFiles) copy(name string) error {
 	log, err := l.open(name)
 	if err != nil {
--- a/cmd/briarlink/logfiles_test.go
+++ b/cmd/briarlink/logfiles_test.go
@@ -15,44 +15,45 @@
 	"github.com/briarlink/briarlink/internal/logreport"
 )
 
-// lines calls a function for each line that is written to it: a line is one write.
+// lines is a writer that calls a function for each write, which must be one line.
 type lines func(text []byte) error
 
 func (l lines) Write(text []byte) (int, error) { return len(text), l(text) }
 
-// fleetLogs are the logs of a fleet, made anew each time, and measures what is kept of
-// them.
+// fleetLogs implements logline.Logs on the logs of a fleet, generated for each read, and
+// measures the memory that is still in use after a read.
 type fleetLogs struct {
 	fleet
-	// kept is the most memory, of those at the ends of the readings, that is reachable.
-	kept uint64
+	// retained is the maximum heap in use at the end of a read.
+	retained uint64
 }
 
 func (l *fleetLogs) Each(f func(text []byte) error) error {
 	for host := range l.hosts {
 		l.host(lines(f), host)
 	}
-	l.kept = max(l.kept, reachable())
+	l.retained = max(l.retained, heapInUse())
 	return nil
 }
 
-// reachable returns the bytes of memory that are in use for something.
-func reachable() uint64 {
+// heapInUse returns the bytes of reachable heap objects.
+func heapInUse() uint64 {
 	var stats runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&stats)
 	return stats.HeapAlloc
 }
 
-// TestMemoryDoesNotGrowWithLogs: both commands had every line of every host in memory,
-// decoded, before they began: a gigabyte for a day of the largest deployment, and 19 MB
-// for the greater number of lines here. Ten times as many lines of the same hour now leave
-// no more in memory than the report's counts and the story's lines.
+// TestMemoryDoesNotGrowWithLogs: commands that decode all lines of all hosts before they begin
+// need a gigabyte for a day's logs of a large fleet, and 19 MB for the larger logs here. With
+// ten times as many lines in the same hour, only the report's counts and the explanation's
+// lines may stay in memory.
 func TestMemoryDoesNotGrowWithLogs(t *testing.T) {
 	const (
 		few, many = 4 * fleetHosts, 40 * fleetHosts
-		// most is 49 bytes for each line more; the report's counts fill up at first.
-		most = 512 << 10
+		// maxGrowth is 49 bytes for each additional line. It is not 0 because the report's
+		// histograms grow at first.
+		maxGrowth = 512 << 10
 	)
 	for name, read := range map[string]func(*testing.T, *fleetLogs){
 		"report": func(t *testing.T, l *fleetLogs) {
@@ -68,28 +69,28 @@
 			}
 		},
 		"explain": func(t *testing.T, l *fleetLogs) {
-			story, err := explain.Request(fleetLost, l, false)
-			if err != nil || !strings.Contains(story.Verdict, "was lost") {
-				t.Errorf("%v: %s", err, story.Verdict)
+			explanation, err := explain.Request(fleetLost, l, false)
+			if err != nil || !strings.Contains(explanation.Verdict, "was lost") {
+				t.Errorf("%v: %s", err, explanation.Verdict)
 			}
 		},
 	} {
-		kept := map[int]uint64{}
+		retained := map[int]uint64{}
 		for _, n := range []int{few, many} {
 			l := &fleetLogs{fleet: fleet{fleetHosts, n}}
-			before := reachable()
+			before := heapInUse()
 			read(t, l)
-			kept[n] = l.kept - min(l.kept, before)
+			retained[n] = l.retained - min(l.retained, before)
 		}
-		t.Logf("%s: %d bytes of %d lines, %d of %d", name, kept[few], few, kept[many], many)
-		if kept[many] > kept[few]+most {
-			t.Errorf("%s: %d bytes of %d lines, %d of %d", name, kept[few], few, kept[many], many)
+		t.Logf("%s: %d bytes retained from %d lines, %d from %d", name, retained[few], few, retained[many], many)
+		if retained[many] > retained[few]+maxGrowth {
+			t.Errorf("%s: %d bytes retained from %d lines, %d from %d", name, retained[few], few, retained[many], many)
 		}
 	}
 }
 
-// story returns what explain prints, given standard input.
-func story(t *testing.T, stdin *os.File, args ...string) string {
+// explainOutput returns what the explain command prints, given standard input.
+func explainOutput(t *testing.T, stdin *os.File, args ...string) string {
 	t.Helper()
 	file, err := os.Create(filepath.Join(t.TempDir(), "out"))
 	if err != nil {
@@ -109,13 +110,14 @@
 	return string(text)
 }
 
-// TestPipesAreReadTwice: the story takes two readings, and logs often come through a pipe.
+// TestPipesAreReadTwice: explain reads the logs twice, and a pipe can be read only once. The
+// command must spool it, print the same as for files, and leave no temporary file behind.
 func TestPipesAreReadTwice(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
 	names, _ := fleet{3, 300}.write(t, t.TempDir())
-	want := story(t, os.Stdin, append([]string{fleetLost}, names...)...)
+	want := explainOutput(t, os.Stdin, append([]string{fleetLost}, names...)...)
 	if strings.Count(want, "\n") < 2 || strings.HasPrefix(want, "no line ends") {
-		t.Fatalf("the story is %q", want)
+		t.Fatalf("the explanation is %q", want)
 	}
 	r, w, err := os.Pipe()
 	if err != nil {
@@ -128,7 +130,7 @@
 			fleet{3, 300}.host(w, host)
 		}
 	}()
-	if got := story(t, r, fleetLost); got != want {
+	if got := explainOutput(t, r, fleetLost); got != want {
 		t.Errorf("through a pipe: %s\nfrom files: %s", got, want)
 	}
 	left, err := os.ReadDir(os.Getenv("TMPDIR"))
@@ -137,8 +139,8 @@
 	}
 }
 
-// TestProgress: work that takes longer than the interval says how far it is, and only
-// then.
+// TestProgress: a read that takes longer than the interval prints its progress, and a short
+// one prints nothing.
 func TestProgress(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var out bytes.Buffer
@@ -154,18 +156,18 @@
 		}
 		lines := strings.Split(strings.TrimSpace(out.String()), "\n")
 		if len(lines) != 3 || !strings.HasSuffix(lines[0], " of 4 MB") {
-			t.Errorf("it says %q", out.String())
+			t.Errorf("it printed %q", out.String())
 		}
 		out.Reset()
 		quick := newProgress(&out, "reading logs", 0).reader(strings.NewReader("x"))
 		if _, err := io.Copy(io.Discard, quick); err != nil || out.Len() > 0 {
-			t.Errorf("%v, it says %q", err, out.String())
+			t.Errorf("%v, it printed %q", err, out.String())
 		}
 	})
 }
 
-// TestErrorsNameTheFile: among the logs of hundreds of hosts an operator must find the one
-// that cannot be read.
+// TestErrorsNameTheFile: with the logs of hundreds of hosts, an error must say which file
+// cannot be read.
 func TestErrorsNameTheFile(t *testing.T) {
 	dir := t.TempDir()
 	for name, text := range map[string]string{
--- a/cmd/briarlink/logs.go
+++ b/cmd/briarlink/logs.go
@@ -80,7 +80,7 @@
 	return nil
 }
 
-// checkLine checks a line, without what a collector wrote before it.
+// checkLine validates a line, ignoring the log collector's prefix.
 func checkLine(line []byte) error {
 	_, object := logline.Object(line)
 	return obs.CheckLine(object)
--- a/cmd/briarlink/main.go
+++ b/cmd/briarlink/main.go
@@ -1,5 +1,5 @@
-// Command briarlink routes language-model traffic with long shared prompts. It
-// runs entry hosts and is the operators' command line.
+// Command briarlink routes language-model traffic with long shared prompts. It runs an
+// entry host, and is also the command-line tool for operators.
 package main
 
 import (
@@ -26,9 +26,9 @@
 // Exit codes.
 const (
 	exitOK = iota
-	// exitFailed means the command did not do what was asked.
+	// exitFailed means the command failed.
 	exitFailed
-	// exitUsage means the command line or a file is wrong.
+	// exitUsage means the command line or an input file is invalid.
 	exitUsage
 )
 
@@ -122,7 +122,7 @@
 	return nil
 }
 
-// exitError carries the exit code of a failed command.
+// exitError is an error with the command's exit code.
 type exitError struct {
 	code int
 	err  error
@@ -130,6 +130,7 @@
 
 func (e *exitError) Error() string { return e.err.Error() }
 
+// usage marks err as a usage error.
 func usage(err error) error { return &exitError{exitUsage, err} }
 
 func main() {
--- a/cmd/briarlink/main_test.go
+++ b/cmd/briarlink/main_test.go
@@ -16,7 +16,7 @@
 	pb "github.com/briarlink/briarlink/api/briarlink/v1"
 )
 
-// TestHelp keeps the help of every command in golden files; -update renews them.
+// TestHelp compares the help of every command with golden files; -update rewrites them.
 func TestHelp(t *testing.T) {
 	for _, command := range []string{"", "serve", "settings check", "admin", "admin status", "admin hosts", "admin replicas", "admin quotas", "admin weights", "explain", "logs check", "logs report", "completion", "version"} {
 		var out bytes.Buffer
@@ -33,7 +33,7 @@
 	}
 }
 
-// TestExitCodes runs commands that need no host.
+// TestExitCodes checks the exit codes of commands that need no running host.
 func TestExitCodes(t *testing.T) {
 	bad := filepath.Join(t.TempDir(), "bad.hujson")
 	if err := os.WriteFile(bad, []byte("{\n\"speed\": 1,\n\"log\": {\"level\": \"loud\"},\n}"), 0o600); err != nil {
@@ -66,8 +66,8 @@
 	}
 }
 
-// TestServeEndsWhereAPortIsTaken: a host that cannot listen at one of its addresses
-// ends at once, and does not stay with the others open.
+// TestServeEndsWhereAPortIsTaken: a host that cannot listen on one of its addresses exits at
+// once instead of running with only the other listeners.
 func TestServeEndsWhereAPortIsTaken(t *testing.T) {
 	taken, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -93,11 +93,11 @@
 			t.Errorf("exit code %d, want %d", got, exitFailed)
 		}
 	case <-time.After(20 * time.Second):
-		t.Error("the host did not end")
+		t.Error("the host did not exit")
 	}
 }
 
-// TestAdminTables prints a host's answer by command.
+// TestAdminTables compares the tables of a host's status with a golden file.
 func TestAdminTables(t *testing.T) {
 	status := &pb.StatusResponse{
 		Lease: &pb.LeaseStatus{Holder: "edge-1", FencingToken: 7},
@@ -124,7 +124,7 @@
 		printQuotas(&out, status, all)
 	}
 	printWeights(&out, status)
-	// Where nothing is to be looked at, a sentence says so.
+	// Empty tables are replaced by a sentence.
 	printHosts(&out, &pb.StatusResponse{}, false)
 	printReplicas(&out, &pb.StatusResponse{}, false)
 	printQuotas(&out, &pb.StatusResponse{}, false)
--- a/cmd/briarlink/progress.go
+++ b/cmd/briarlink/progress.go
@@ -6,28 +6,28 @@
 	"time"
 )
 
-// progressInterval is the time after which work tells how far it is, and then the time
-// between two lines: an operator who waits longer wonders whether anything goes on.
+// progressInterval is the time before the first progress line and between two of them.
+// Operators who wait longer without output cannot tell whether the command is still running.
 const progressInterval = 2 * time.Second
 
 const bytesInMB = 1e6
 
-// progress tells how far a long reading is. One that ends within the interval says
-// nothing.
+// progress prints how far a long read has got. A read that ends within progressInterval
+// prints nothing.
 type progress struct {
 	w    io.Writer
-	what string
-	// total is the number of bytes to read, 0 if that is not known.
+	task string
+	// total is the number of bytes to read, or 0 if unknown.
 	total int64
 	read  int64
 	last  time.Time
 }
 
-func newProgress(w io.Writer, what string, total int64) *progress {
-	return &progress{w: w, what: what, total: total, last: time.Now()}
+func newProgress(w io.Writer, task string, total int64) *progress {
+	return &progress{w: w, task: task, total: total, last: time.Now()}
 }
 
-// reader returns a reader whose bytes count.
+// reader wraps r and counts the bytes read from it.
 func (p *progress) reader(r io.Reader) io.Reader { return progressReader{p, r} }
 
 func (p *progress) add(n int) {
@@ -37,10 +37,10 @@
 	}
 	p.last = time.Now()
 	if p.total == 0 {
-		fmt.Fprintf(p.w, "%s: %.0f MB\n", p.what, float64(p.read)/bytesInMB)
+		fmt.Fprintf(p.w, "%s: %.0f MB\n", p.task, float64(p.read)/bytesInMB)
 		return
 	}
-	fmt.Fprintf(p.w, "%s: %.0f of %.0f MB\n", p.what, float64(p.read)/bytesInMB, float64(p.total)/bytesInMB)
+	fmt.Fprintf(p.w, "%s: %.0f of %.0f MB\n", p.task, float64(p.read)/bytesInMB, float64(p.total)/bytesInMB)
 }
 
 type progressReader struct {
--- a/cmd/briarlink/tables.go
+++ b/cmd/briarlink/tables.go
@@ -10,7 +10,7 @@
 	pb "github.com/briarlink/briarlink/api/briarlink/v1"
 )
 
-// counts counts what is in each availability zone, by kind.
+// counts holds the number of hosts or backend servers by availability zone and kind.
 type counts map[string]map[string]int
 
 func (c counts) add(zone, kind string) {
@@ -20,7 +20,7 @@
 	c[zone][kind]++
 }
 
-// print writes a row for each zone with a column for each kind.
+// print writes a row for each availability zone with a column for each kind.
 func (c counts) print(w io.Writer, kinds []string) {
 	fmt.Fprintf(w, "ZONE\t%s\n", strings.ToUpper(strings.Join(kinds, "\t")))
 	for _, zone := range slices.Sorted(maps.Keys(c)) {
@@ -32,7 +32,7 @@
 	}
 }
 
-// hostKind names what is to be known of a host first.
+// hostKind returns the most important aspect of a host's state.
 func hostKind(h *pb.HostStatus) string {
 	switch {
 	case !h.Alive:
@@ -48,8 +48,8 @@
 	}
 }
 
-// printHosts counts the hosts by zone and lists those that are not as they should
-// be, or all.
+// printHosts prints the number of hosts by availability zone and lists those that are
+// neither routing nor on standby, or all.
 func printHosts(w io.Writer, s *pb.StatusResponse, all bool) {
 	byZone := counts{}
 	for _, h := range s.Hosts {
@@ -70,7 +70,8 @@
 	rows.print(w)
 }
 
-// listing is a table of what is to be looked at, or a sentence where there is nothing.
+// listing is a table of the items that need attention. If it has no rows, the sentence in
+// its field none is printed instead.
 type listing struct {
 	heading, none string
 	rows          []string
@@ -91,8 +92,8 @@
 	}
 }
 
-// printReplicas counts the backend servers by zone and state and lists those that do
-// not serve, or hold other weights than most of their service, or all.
+// printReplicas prints the number of backend servers by availability zone and state, and
+// lists those that do not serve or hold other weights than most of their service, or all.
 func printReplicas(w io.Writer, s *pb.StatusResponse, all bool) {
 	byZone := counts{}
 	usual := usualWeights(s.Replicas)
@@ -114,8 +115,8 @@
 	rows.print(w)
 }
 
-// usualWeights returns the weights that most backend servers of each service hold; of
-// two held by as many, the greater in order.
+// usualWeights returns the weights that the largest number of backend servers of each
+// service hold; on a tie, those that sort last.
 func usualWeights(replicas []*pb.ReplicaStatus) map[string]string {
 	held := map[string]map[string]int{}
 	for _, r := range replicas {
@@ -135,10 +136,11 @@
 	return usual
 }
 
-// usedFrom is the share of its burst from which an organisation is listed.
-const usedFrom = 0.5
+// listThreshold is the fraction of its burst that an organisation must use to be listed.
+const listThreshold = 0.5
 
-// printQuotas lists the organisations whose limits are in use, or all that have one.
+// printQuotas lists the organisations that use much of their rate limit or had requests
+// rejected by this host, or all that have a limit.
 func printQuotas(w io.Writer, s *pb.StatusResponse, all bool) {
 	fmt.Fprintf(w, "organisations with a rate limit: %d\n", len(s.Quotas))
 	rows := listing{
@@ -146,14 +148,14 @@
 		none:    "none uses half of its burst, or was refused anything here",
 	}
 	for _, q := range s.Quotas {
-		if all || q.Level >= usedFrom*q.Burst || q.Refused > 0 {
+		if all || q.Level >= listThreshold*q.Burst || q.Refused > 0 {
 			rows.add("%s\t%s\t%.0f\t%.0f\t%.0f\t%d\t%d", q.Organisation, q.Unit, q.PerSecond, q.Burst, q.Level, q.Used, q.Refused)
 		}
 	}
 	rows.print(w)
 }
 
-// printMoves lists the last order for each service.
+// printMoves lists the latest canary release of each service.
 func printMoves(w io.Writer, s *pb.StatusResponse) {
 	rows := listing{
 		heading: "SERVICE\tTARGET\tSTATE\tSHARE\tTIME\tANSWERS\tFAILED\tOTHERS\tFAILED\tEVIDENCE",
--- a/cmd/briarlink/watch.go
+++ b/cmd/briarlink/watch.go
@@ -20,7 +20,7 @@
 	Interval time.Duration `default:"2s" help:"Time between two tables."`
 }
 
-// AfterApply checks the flags.
+// AfterApply implements kong's hook and validates the flags.
 func (f *watchFlags) AfterApply() error {
 	if f.Interval <= 0 {
 		return errors.New("--interval must be longer than 0")
@@ -28,7 +28,7 @@
 	return nil
 }
 
-// run prints once, or again and again until the operator interrupts it.
+// run prints once, or repeatedly until the operator interrupts it.
 func (f *watchFlags) run(print func(context.Context, io.Writer) error) error {
 	if !f.Watch {
 		return print(context.Background(), os.Stdout)
@@ -39,14 +39,14 @@
 	return w.run(ctx)
 }
 
-// isTerminal reports whether a file is a terminal, where a table can take the place of
-// the one before.
+// isTerminal reports whether a file is a terminal, where each table can overwrite the
+// previous one.
 func isTerminal(f *os.File) bool {
 	info, err := f.Stat()
 	return err == nil && info.Mode()&os.ModeCharDevice != 0
 }
 
-// watch prints something again and again.
+// watch calls print at an interval.
 type watch struct {
 	interval  time.Duration
 	print     func(context.Context, io.Writer) error
@@ -54,25 +54,25 @@
 	terminal  bool
 }
 
-// clearScreen sends the cursor of a terminal home and clears what is below.
+// clearScreen moves a terminal's cursor home and clears everything after it.
 const clearScreen = "\x1b[H\x1b[J"
 
-// run prints until ctx ends, which is no error. What fails is told, and tried again at
-// the next interval: a host that restarts ends no watch.
+// run prints until ctx ends, which is not an error. A failed call is printed and repeated at
+// the next interval, so that the watch survives a restart of the host.
 func (w *watch) run(ctx context.Context) error {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	var failed error
 	clock.Every(ctx, w.interval, func() {
-		if failed = w.renew(ctx); failed != nil {
+		if failed = w.refresh(ctx); failed != nil {
 			stop()
 		}
 	})
 	return failed
 }
 
-// renew prints once. Its error is that of the output.
-func (w *watch) renew(ctx context.Context) error {
+// refresh prints once. It returns an error only if the output fails.
+func (w *watch) refresh(ctx context.Context) error {
 	var table bytes.Buffer
 	if w.terminal {
 		table.WriteString(clearScreen)
@@ -87,7 +87,7 @@
 		return errors.Wrap(err, "print")
 	}
 	table.WriteString("\n")
-	// One write: a terminal never shows half a table.
+	// A single write, so that a terminal never shows half a table.
 	_, err = w.out.Write(table.Bytes())
 	return errors.Wrap(err, "print")
 }
--- a/cmd/briarlink/watch_test.go
+++ b/cmd/briarlink/watch_test.go
@@ -21,9 +21,9 @@
 	"github.com/briarlink/briarlink/internal/admin"
 )
 
-// TestWatchRenewsUntilInterrupted: a table at once and then each interval; one that
-// fails is told and ends nothing; the end is no error.
-func TestWatchRenewsUntilInterrupted(t *testing.T) {
+// TestWatchRefreshesUntilInterrupted: a table is printed at once and then at each interval, a
+// failed call is printed and does not end the watch, and an interrupt is not an error.
+func TestWatchRefreshesUntilInterrupted(t *testing.T) {
 	for _, terminal := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			var out, errs bytes.Buffer
@@ -50,17 +50,17 @@
 				t.Errorf("it printed %q", out.String())
 			}
 			if got := strings.Count(errs.String(), "\n"); got != 1 || !strings.Contains(errs.String(), "ask the host: refused") {
-				t.Errorf("it told %q", errs.String())
+				t.Errorf("it printed the errors %q", errs.String())
 			}
 			if got := strings.Count(out.String(), "\x1b"); (got > 0) != terminal {
-				t.Errorf("%d codes for a terminal: %t", got, terminal)
+				t.Errorf("%d terminal codes, terminal: %t", got, terminal)
 			}
 		})
 	}
 }
 
-// TestWatchIsInterruptedInACall: an operator does not wait for the host, and reads of no
-// failure.
+// TestWatchIsInterruptedInACall: an interrupt during a call ends the watch at once and prints
+// no error.
 func TestWatchIsInterruptedInACall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var out, errs bytes.Buffer
@@ -81,12 +81,12 @@
 	})
 }
 
-// brokenPipe takes nothing.
+// brokenPipe is an output whose reader has gone.
 type brokenPipe struct{}
 
 func (brokenPipe) Write([]byte) (int, error) { return 0, syscall.EPIPE }
 
-// TestWatchEndsWithItsOutput: nobody reads it any more.
+// TestWatchEndsWithItsOutput: a watch ends when its output can no longer be written.
 func TestWatchEndsWithItsOutput(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := watch{interval: time.Second, out: brokenPipe{}, errs: io.Discard}
@@ -97,7 +97,8 @@
 	})
 }
 
-// TestWatchCommands: each goes on over a failed call and ends well on SIGINT.
+// TestWatchCommands: each command with --watch continues after a failed call and exits with
+// code 0 on SIGINT.
 func TestWatchCommands(t *testing.T) {
 	for _, command := range []string{"hosts", "replicas"} {
 		_, handler := admin.New(func() *pb.StatusResponse { return &pb.StatusResponse{} }).Handler()
@@ -108,14 +109,14 @@
 				http.Error(w, "not now", http.StatusServiceUnavailable)
 				return
 			case 3:
-				// The command has asked before, so that it is the one to take the signal.
+				// The command has called the host before, so its signal handler is installed.
 				if err := syscall.Kill(os.Getpid(), syscall.SIGINT); err != nil {
 					t.Error(err)
 				}
 			}
 			handler.ServeHTTP(w, r)
 		}))
-		quiet(t)
+		discardOutput(t)
 		address := strings.TrimPrefix(host.URL, "http://")
 		if code := run([]string{"admin", "--address", address, command, "--watch", "--interval", "1ms"}); code != exitOK {
 			t.Errorf("%s: exit code %d", command, code)
