--- a/cmd/briarlink/admin.go
+++ b/cmd/briarlink/admin.go
@@ -21,12 +21,12 @@
 type adminCmd struct {
 	Address string        `required:"" env:"BRIARLINK_ADDRESS" help:"IP:port of any entry host's operator listener."`
 	Output  string        `enum:"json,table" default:"table" help:"Output format: json or table."`
-	Timeout time.Duration `default:"10s" help:"Limit on each call of the host."`
+	Timeout time.Duration `default:"10s" help:"Timeout of each call to the host."`
 
-	Status   statusCmd   `cmd:"" help:"Print what a host believes: hosts, backend servers, versions, lease."`
+	Status   statusCmd   `cmd:"" help:"Print the state that a host sees: hosts, backend servers, versions, lease."`
 	Hosts    hostsCmd    `cmd:"" help:"Print the entry hosts that a host knows."`
-	Replicas replicasCmd `cmd:"" help:"Print the backend servers that a host knows, and the work of all hosts there."`
-	Quotas   quotasCmd   `cmd:"" help:"Print the rate limits of organisations, and what stands against them, as a host sees it."`
+	Replicas replicasCmd `cmd:"" help:"Print the backend servers that a host knows, and the load of all hosts on them."`
+	Quotas   quotasCmd   `cmd:"" help:"Print the rate limits of organisations and their current use, as a host sees them."`
 	Moves    movesCmd    `cmd:"" help:"Print the operators' orders to move services to other versions, as a host sees them."`
 	Weights  weightsCmd  `cmd:"" help:"Print how many backend servers hold which weights, and who may order loads."`
 }
--- a/cmd/briarlink/explain.go
+++ b/cmd/briarlink/explain.go
@@ -9,7 +9,7 @@
 type explainCmd struct {
 	Request string   `arg:"" help:"ID of the request."`
 	Files   []string `arg:"" optional:"" help:"Log files of all hosts; standard input without any."`
-	All     bool     `help:"Also every other line on the replicas that it met, since the logs begin."`
+	All     bool     `help:"Also print every other line on the replicas that the request was sent to, since the logs begin."`
 }
 
 // Run implements the explain command.
--- a/cmd/briarlink/logs.go
+++ b/cmd/briarlink/logs.go
@@ -14,14 +14,14 @@
 
 type logsCmd struct {
 	Check  logsCheckCmd  `cmd:"" help:"Check that log lines are as documented, and print those that are not."`
-	Report logsReportCmd `cmd:"" help:"Sum what became of requests over time: served, late, refused, failed by cause, hit rate, first events."`
+	Report logsReportCmd `cmd:"" help:"Summarise requests over time: served, late, refused, failed by cause, hit rate, first events."`
 }
 
 type logsReportCmd struct {
 	Files []string           `arg:"" optional:"" help:"Log files of all hosts; standard input without any."`
 	Step  time.Duration      `default:"2s" help:"Length of an interval."`
-	By    logreport.Grouping `xor:"drawn" enum:",route,zone" default:"" placeholder:"GROUP" help:"Tell requests apart by route or zone."`
-	Svg   string             `xor:"drawn" placeholder:"FILE" help:"Also draw it, as an SVG file; not by groups."`
+	By    logreport.Grouping `xor:"drawn" enum:",route,zone" default:"" placeholder:"GROUP" help:"Group requests by route or zone."`
+	Svg   string             `xor:"drawn" placeholder:"FILE" help:"Also draw the report as an SVG file; not with --by."`
 }
 
 // Run implements the logs report command.
--- a/cmd/briarlink/main.go
+++ b/cmd/briarlink/main.go
@@ -33,19 +33,19 @@
 )
 
 type cli struct {
-	Serve    serveCmd    `cmd:"" help:"Run an entry host until SIGTERM or SIGINT, then stop without cutting a request."`
+	Serve    serveCmd    `cmd:"" help:"Run an entry host until SIGTERM or SIGINT, then finish the open requests and exit."`
 	Settings settingsCmd `cmd:"" help:"Work with settings files."`
-	Admin    adminCmd    `cmd:"" help:"Operators' calls."`
-	Explain  explainCmd  `cmd:"" help:"Tell a request's story from the hosts' logs."`
+	Admin    adminCmd    `cmd:"" help:"Query a running entry host."`
+	Explain  explainCmd  `cmd:"" help:"Explain from the hosts' logs how a request ended and why."`
 	Logs     logsCmd     `cmd:"" help:"Work with logs."`
 	Version  versionCmd  `cmd:"" help:"Print the version."`
 
-	Completion kongcompletion.Completion `cmd:"" help:"Print what makes the shell complete commands: bash, zsh or fish."`
+	Completion kongcompletion.Completion `cmd:"" help:"Print the shell's completion script: bash, zsh or fish."`
 }
 
 type serveCmd struct {
 	Settings string   `env:"${settings_variable}" required:"" help:"Settings file: JSON with comments, or the platform's format."`
-	Without  []string `placeholder:"MECHANISM" help:"For measurements: switch these mechanisms off. One that does not exist is refused with the list of those that do."`
+	Without  []string `placeholder:"MECHANISM" help:"For measurements: disable these mechanisms. An unknown name is an error that lists the valid ones."`
 }
 
 // Run implements the serve command.
--- a/cmd/briarlink/watch.go
+++ b/cmd/briarlink/watch.go
@@ -16,7 +16,7 @@
 )
 
 type watchFlags struct {
-	Watch    bool          `help:"Renew the table until interrupted."`
+	Watch    bool          `help:"Refresh the table until interrupted."`
 	Interval time.Duration `default:"2s" help:"Time between two tables."`
 }
 
