--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,4 +1,5 @@
-// Package clock waits: for a while, or again and again, until a context ends.
+// Package clock has timers that end with a context, and a clock that includes the time for
+// which the machine was suspended.
 package clock
 
 import (
@@ -6,7 +7,7 @@
 	"time"
 )
 
-// Sleep waits for d, or until ctx ends if that is sooner.
+// Sleep waits for d, or until ctx ends, whichever is sooner.
 func Sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -16,7 +17,7 @@
 	}
 }
 
-// Every calls f at once and then each interval until ctx ends.
+// Every calls f at once and then at each interval until ctx ends.
 func Every(ctx context.Context, interval time.Duration, f func()) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// TestWaitsEndWithTheirContext: a sleep lasts as long as asked and no longer than its
-// context, and nothing is called once that has ended.
+// TestWaitsEndWithTheirContext: Sleep waits for its duration, but not beyond the end of its
+// context, and Every makes no call after the end of its context.
 func TestWaitsEndWithTheirContext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(t.Context(), 3500*time.Millisecond)
--- a/internal/clock/suspend.go
+++ b/internal/clock/suspend.go
@@ -8,28 +8,29 @@
 )
 
 const (
-	// lookEvery is how often it is looked for a suspension: sooner than what a machine
-	// that wakes may do by what it knew before.
-	lookEvery = 20 * time.Millisecond
-	// leastSuspended is the shortest suspension that is told from the time that reading
-	// two clocks takes.
-	leastSuspended = 50 * time.Millisecond
+	// checkInterval is the minimum time between two checks for a suspension. It is so short
+	// that a suspension is noticed before a resumed machine acts on outdated state.
+	checkInterval = 20 * time.Millisecond
+	// minSuspension is the shortest suspension that is detected. Shorter differences between
+	// the two clocks may come from the time that it takes to read them.
+	minSuspension = 50 * time.Millisecond
 )
 
-// suspensions sums the time for which the machine was suspended since the process began.
-// The monotonic clock stands still meanwhile: leases, ages and timeouts that are reckoned
-// by it alone are older than they seem when the machine wakes.
+// suspensions tracks the total time for which the machine was suspended since the process
+// started. The monotonic clock stops during a suspension: leases, ages and timeouts measured
+// by it alone are older than they seem when the machine resumes.
 type suspensions struct {
 	mu sync.Mutex
-	// boottime reads a clock that counts suspensions, from any moment on.
+	// boottime reads a clock that includes suspensions; its zero point does not matter.
 	boottime func() (time.Duration, error)
-	// epoch is any moment; base is what boottime read then, at most.
-	epoch time.Time
-	base  time.Duration
-	known bool
-	// looked is when, since epoch, it was looked last.
-	looked time.Duration
-	total  time.Duration
+	// epoch is any fixed time. base is the reading of boottime at epoch, or somewhat more; it
+	// is valid once baseKnown is set.
+	epoch     time.Time
+	base      time.Duration
+	baseKnown bool
+	// checked is the time of the last check, relative to epoch.
+	checked time.Duration
+	total   time.Duration
 }
 
 var machine = &suspensions{boottime: readBoottime, epoch: time.Now()}
@@ -40,51 +41,53 @@
 	return time.Duration(ts.Nano()), err
 }
 
-// Now returns the time. Its monotonic reading counts the time for which the machine was
-// suspended, so that it is to be set against others of this function alone.
+// Now returns the current time. Unlike that of time.Now, its monotonic reading includes the
+// time for which the machine was suspended, so it must only be compared with other times
+// returned by Now.
 func Now() time.Time {
 	now := time.Now()
 	return now.Add(machine.upTo(now))
 }
 
-// Suspended returns the time for which the machine was suspended since the process began.
+// Suspended returns the time for which the machine was suspended since the process started.
 func Suspended() time.Duration { return machine.upTo(time.Now()) }
 
-// Since returns the time since t, a time of Now.
+// Since returns the time elapsed since t, which must be a time returned by Now.
 func Since(t time.Time) time.Duration { return Now().Sub(t) }
 
-// Until returns the time until t, a time of Now.
+// Until returns the time until t, which must be derived from a time returned by Now.
 func Until(t time.Time) time.Duration { return t.Sub(Now()) }
 
-// upTo returns the time for which the machine was suspended up to now, a little of the
-// latest suspension excepted.
+// upTo returns the total time of suspensions up to now. It may miss a little of the latest
+// suspension.
 func (s *suspensions) upTo(now time.Time) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	at := now.Sub(s.epoch)
-	// A time before the epoch is of a clock that tests keep.
-	if at < 0 || s.known && at-s.looked < lookEvery {
+	// A time before the epoch comes from a test's clock.
+	if at < 0 || s.baseKnown && at-s.checked < checkInterval {
 		return s.total
 	}
-	s.looked = at
+	s.checked = at
 	boot, err := s.boottime()
 	if err != nil {
-		// No such clock: the monotonic one is all that there is.
+		// Without a boot-time clock, suspensions cannot be detected.
 		return s.total
 	}
-	if !s.known {
-		// Too late a reading makes the base too high, and a suspension shorter.
-		s.base, s.known = boot-at, true
+	if !s.baseKnown {
+		// If boottime is read late, the base is too high, and suspensions seem shorter.
+		s.base, s.baseKnown = boot-at, true
 	}
-	// What passed between the two readings counts for no suspension.
-	if suspended := boot - time.Since(s.epoch) - s.base; suspended >= s.total+leastSuspended {
+	// The monotonic clock is read after boottime, so that the time between the two readings
+	// does not count as suspension.
+	if suspended := boot - time.Since(s.epoch) - s.base; suspended >= s.total+minSuspension {
 		s.total = suspended
 	}
 	return s.total
 }
 
-// Replace makes another clock that counts suspensions the machine's, as tests do, and
-// returns what takes it back.
+// Replace replaces the machine's boot-time clock, for tests, and returns a function that
+// restores it.
 func Replace(boottime func() time.Duration) (restore func()) {
 	before := machine
 	machine = &suspensions{epoch: time.Now(), boottime: func() (time.Duration, error) { return boottime(), nil }}
--- a/internal/clock/suspend_test.go
+++ b/internal/clock/suspend_test.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// TestSuspensionsCount: the monotonic clock stands still while the machine is suspended,
-// and Now does not. Small differences between the two clocks count for nothing.
+// TestSuspensionsCount: the monotonic clock stops while the machine is suspended, and Now
+// continues. Differences between the two clocks below minSuspension are ignored.
 func TestSuspensionsCount(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		began, suspended := time.Now(), time.Duration(0)
 		defer Replace(func() time.Duration { return time.Hour + time.Since(began) + suspended })()
 		before := Now()
 		for _, step := range []struct{ passes, suspended, want time.Duration }{
-			{lookEvery, 0, lookEvery},
-			{lookEvery, leastSuspended / 2, 2 * lookEvery},
-			{lookEvery, 3 * time.Second, 3*lookEvery + 3*time.Second + leastSuspended/2},
-			{time.Second, 5 * time.Second, time.Second + 3*lookEvery + 8*time.Second + leastSuspended/2},
+			{checkInterval, 0, checkInterval},
+			{checkInterval, minSuspension / 2, 2 * checkInterval},
+			{checkInterval, 3 * time.Second, 3*checkInterval + 3*time.Second + minSuspension/2},
+			{time.Second, 5 * time.Second, time.Second + 3*checkInterval + 8*time.Second + minSuspension/2},
 		} {
 			suspended += step.suspended
 			time.Sleep(step.passes)
@@ -31,13 +31,14 @@
 	})
 }
 
-// TestTimeRunsOnWithoutSuspensions on the clocks of this machine.
-func TestTimeRunsOnWithoutSuspensions(t *testing.T) {
+// TestNowFollowsTheMonotonicClock: without suspensions, Now runs like the monotonic clock. It
+// uses the real clocks of the machine.
+func TestNowFollowsTheMonotonicClock(t *testing.T) {
 	before, real := Now(), time.Now()
 	for range 10 {
-		time.Sleep(lookEvery)
-		if gap := Since(before) - time.Since(real); gap.Abs() > leastSuspended {
-			t.Fatalf("%v apart from the monotonic clock", gap)
+		time.Sleep(checkInterval)
+		if difference := Since(before) - time.Since(real); difference.Abs() > minSuspension {
+			t.Fatalf("%v apart from the monotonic clock", difference)
 		}
 	}
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,6 +1,5 @@
-// Package config holds the operators' configuration as the router uses it:
-// routes, services, organisations and limits of one version, immutable once
-// built.
+// Package config defines the operators' configuration as the router uses it: the routes,
+// services, organisations and limits of one version. It is immutable once built.
 package config
 
 import (
@@ -11,7 +10,7 @@
 	"github.com/zeebo/xxh3"
 )
 
-// Kind says what of a route's requests may be repeated.
+// Kind says whether and how requests of a route may be retried.
 type Kind int
 
 // Kinds of route.
@@ -25,13 +24,13 @@
 	Streaming
 )
 
-// Share is one service of a route with its weight among the others.
+// Share is one service of a route, and its weight relative to the route's other services.
 type Share struct {
 	Service string
 	Weight  int
 }
 
-// Route sends the requests of a host and path prefix to a service.
+// Route sends the requests for an HTTP host and path prefix to services.
 type Route struct {
 	Name string
 	Host string
@@ -39,50 +38,51 @@
 	Prefix   string
 	Kind     Kind
 	Services []Share
-	// Timeout is the longest a caller is kept waiting.
+	// Timeout is the maximum time that a caller waits for an answer.
 	Timeout time.Duration
-	// LatencyTarget is the time to a full answer, or to a stream's first event.
+	// LatencyTarget is the target time to a complete answer, or to a stream's first event.
 	LatencyTarget time.Duration
-	// PauseTarget is the longest pause between events of a stream.
+	// PauseTarget is the target for the longest pause between events of a stream.
 	PauseTarget time.Duration
 	// Priority ranks requests; 0 is the most urgent.
 	Priority int
-	// Attempts is the largest number of replicas that may run one request.
+	// Attempts is the maximum number of replicas that may run one request.
 	Attempts int
 	// Public routes need no API key.
 	Public bool
-	// Prompts means that requests name the parts of their prompt.
-	Prompts   bool
+	// Prompts means that requests list the prefix blocks of their prompts.
+	Prompts bool
+	// Resumable streams may be continued by another replica.
 	Resumable bool
 }
 
-// Repeatable reports whether a request may be run again after it may have run.
+// Repeatable reports whether a request that may have run may be run again.
 func (r *Route) Repeatable() bool {
 	return r.Kind == Idempotent || r.Kind == Streaming && r.Resumable
 }
 
 // Engine describes the model engines of a service.
 type Engine struct {
-	// Slots is the number of requests in one batch.
+	// Slots is the maximum number of requests in a batch.
 	Slots int
-	// CacheTokens is the memory of one replica, in tokens.
+	// CacheTokens is the KV cache capacity of one replica, in tokens.
 	CacheTokens int
 	// TokenBytes is the size of one token's KV cache.
 	TokenBytes int
-	// LinkMbps is the speed of a replica's link for KV cache.
+	// LinkMbps is the bandwidth of a replica's link for KV cache, in Mbit/s.
 	LinkMbps float64
-	// EventReaders is how many calls for cache events one replica holds at once.
+	// EventReaders is the maximum number of concurrent calls for cache events to one replica.
 	EventReaders int
 }
 
 // Service is a kind of backend server.
 type Service struct {
 	Name string
-	// MaxConnections is per replica, over all hosts.
+	// MaxConnections is the limit for each replica, over all hosts.
 	MaxConnections int
-	// Engine is nil for plain services and stores.
+	// Engine is nil for services without a model engine and for KV cache stores.
 	Engine *Engine
-	// Store is set for a store of kept KV cache.
+	// Store is set for a KV cache store only.
 	Store *CacheStore
 	// UrgentTarget is the latency target of the most urgent streaming route to the
 	// service, and UrgentPriority that route's priority.
@@ -90,7 +90,7 @@
 	UrgentPriority int
 }
 
-// CacheStore is a store of kept KV cache.
+// CacheStore is a KV cache store.
 type CacheStore struct {
 	Address          string
 	AvailabilityZone string
@@ -99,22 +99,22 @@
 	EventReaders     int
 }
 
-// Organisation is a customer whose traffic is kept apart.
+// Organisation is a customer with API keys, limits and a priority of its own.
 type Organisation struct {
 	Name string
 	Keys []string
-	// Priority replaces the route's when HasPriority is set.
+	// Priority overrides the route's priority if HasPriority is set.
 	Priority    int
 	HasPriority bool
-	// Isolated organisations share no cached prompt with any other.
+	// Isolated organisations share no cached prompts with any other organisation.
 	Isolated bool
-	// RateLimit is what all hosts together may let in; nil for no limit.
+	// RateLimit limits what all hosts together may admit; nil means no limit.
 	RateLimit *RateLimit
-	// LimitError says why the operators' limit is not held to, nil where it is.
+	// LimitError says why the limit set by operators is not enforced; nil if it is.
 	LimitError error
 }
 
-// Limits bound what callers may send.
+// Limits are the limits on the connections and requests of callers.
 type Limits struct {
 	MaxHeaderBytes int
 	MaxBodyBytes   int64
@@ -124,7 +124,7 @@
 
 // Config is one version of the configuration.
 type Config struct {
-	// Version grows with each version; steps are uneven.
+	// Version increases with each configuration, but not always by one.
 	Version       int64
 	Routes        []*Route
 	Services      map[string]*Service
@@ -136,7 +136,8 @@
 	stores []*CacheStore
 }
 
-// Build fills the lookups; call it once before the configuration is shared.
+// Build fills the lookup tables and returns c. It must be called once, before the
+// configuration is shared.
 func (c *Config) Build() *Config {
 	c.byHost = map[string][]*Route{}
 	for _, r := range c.Routes {
@@ -157,7 +158,8 @@
 	return c
 }
 
-// findUrgent fills in the most urgent route of each service.
+// findUrgent sets each service's latency target and priority from its most urgent streaming
+// route.
 func (c *Config) findUrgent() {
 	for _, r := range c.Routes {
 		if r.Kind != Streaming || r.LatencyTarget <= 0 {
@@ -179,7 +181,7 @@
 	return r.LatencyTarget < s.UrgentTarget
 }
 
-// Route returns the route with the longest prefix of path, or nil.
+// Route returns the host's route with the longest matching path prefix, or nil.
 func (c *Config) Route(host, path string) *Route {
 	for _, r := range c.byHost[strings.ToLower(host)] {
 		if strings.HasPrefix(path, r.Prefix) {
@@ -189,33 +191,33 @@
 	return nil
 }
 
-// Organisation returns the holder of an API key, or nil.
+// Organisation returns the organisation that an API key belongs to, or nil.
 func (c *Config) Organisation(key string) *Organisation { return c.byKey[key] }
 
-// Keys returns the number of API keys that some organisation holds.
+// Keys returns the number of API keys of all organisations.
 func (c *Config) Keys() int { return len(c.byKey) }
 
-// NeedsKeys reports whether requests must carry a key.
+// NeedsKeys reports whether requests must have an API key.
 func (c *Config) NeedsKeys() bool { return len(c.Organisations) > 0 }
 
-// Stores returns the stores of kept KV cache by address.
+// Stores returns the KV cache stores, sorted by address.
 func (c *Config) Stores() []*CacheStore { return c.stores }
 
-// Store returns the store that keeps the prompts with a part, or nil. The parts
-// spread over all stores, by rendezvous hashing: each keeps its own share,
-// and one that comes or goes moves no other's.
-func (c *Config) Store(part uint64) *CacheStore {
+// Store returns the KV cache store for prompts with a prefix block, or nil without stores.
+// Rendezvous hashing spreads the blocks over all stores, so that a store that is added or
+// removed does not move the blocks of the others.
+func (c *Config) Store(block uint64) *CacheStore {
 	var best *CacheStore
 	bestRank := uint64(0)
 	for _, s := range c.stores {
-		if rank := xxh3.HashStringSeed(s.Address, part); best == nil || rank > bestRank {
+		if rank := xxh3.HashStringSeed(s.Address, block); best == nil || rank > bestRank {
 			best, bestRank = s, rank
 		}
 	}
 	return best
 }
 
-// findStores lists the stores of kept KV cache.
+// findStores collects the KV cache stores, sorted by address.
 func (c *Config) findStores() {
 	for _, s := range c.Services {
 		if s.Store != nil {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -14,25 +14,25 @@
 	return c.Build()
 }
 
-// TestStoresShareLeadingParts: each store keeps its share, and the loss of one
-// moves only that store's.
-func TestStoresShareLeadingParts(t *testing.T) {
+// TestStoresShareBlocks: prefix blocks are spread evenly over the stores, and the loss of a
+// store moves only the blocks of that store.
+func TestStoresShareBlocks(t *testing.T) {
 	if withStores(0).Store(7) != nil {
-		t.Error("a store without any")
+		t.Error("got a store although there is none")
 	}
 	three, two := withStores(3), withStores(2)
 	counts := map[string]int{}
-	const parts = 3000
-	for part := range uint64(parts) {
-		s := three.Store(part)
+	const blocks = 3000
+	for block := range uint64(blocks) {
+		s := three.Store(block)
 		counts[s.Address]++
-		if s.Address != "10.0.0.2:1" && two.Store(part).Address != s.Address {
-			t.Fatalf("part %d moved although its store is still there", part)
+		if s.Address != "10.0.0.2:1" && two.Store(block).Address != s.Address {
+			t.Fatalf("block %d moved although its store is still there", block)
 		}
 	}
 	for address, n := range counts {
-		if n < parts/4 || n > parts*5/12 {
-			t.Errorf("%s keeps %d of %d parts", address, n, parts)
+		if n < blocks/4 || n > blocks*5/12 {
+			t.Errorf("%s has %d of %d blocks", address, n, blocks)
 		}
 	}
 }
--- a/internal/config/ratelimit.go
+++ b/internal/config/ratelimit.go
@@ -14,11 +14,11 @@
 const (
 	// Requests counts each request as one.
 	Requests Unit = iota
-	// Tokens counts a request by its prompt's tokens and the most it may generate.
+	// Tokens counts a request by its prompt tokens plus the maximum number of output tokens.
 	Tokens
 )
 
-// String returns the unit's name for operators.
+// String returns the unit's name as shown to operators.
 func (u Unit) String() string {
 	if u == Tokens {
 		return "tokens"
@@ -27,51 +27,53 @@
 }
 
 const (
-	// maxPerSecond bounds rates and bursts. It lies far beyond what any fleet serves, and
-	// keeps sums over a window within whole numbers.
+	// maxPerSecond is the maximum of rates and bursts. It is far beyond what any fleet serves,
+	// and low enough that sums over a window do not overflow integers.
 	maxPerSecond = 1e12
-	// maxRequestTokens bounds what one request counts, whatever its caller claims, so
-	// that sums stay within whole numbers.
+	// maxRequestTokens limits the tokens counted for one request, whatever its caller
+	// declares, so that sums do not overflow integers.
 	maxRequestTokens = 1_000_000_000
 )
 
-// RateLimit bounds what an organisation may send, over all hosts: at a steady rate,
-// and a burst beyond it after a pause.
+// RateLimit limits what an organisation may send to all hosts together: a steady rate, and
+// bursts beyond it after a pause.
 type RateLimit struct {
 	Unit Unit
-	// PerSecond is the steady rate and Burst what may come beyond it at once, in units.
+	// PerSecond is the steady rate, and Burst the amount that may arrive at once beyond it,
+	// both in units.
 	PerSecond float64
 	Burst     float64
-	// DefaultTokens is what a request counts that does not say its tokens.
+	// DefaultTokens is the cost of a request that does not declare its tokens.
 	DefaultTokens int
 }
 
-// String returns the limit for operators.
+// String returns the limit as shown to operators.
 func (l *RateLimit) String() string {
 	return fmt.Sprintf("%.0f %s a second, burst %.0f", l.PerSecond, l.Unit, l.Burst)
 }
 
-// Check returns what makes the limit unusable.
+// Check returns an error if the limit is invalid.
 func (l *RateLimit) Check() error {
 	switch {
 	case !usable(l.PerSecond):
-		return errors.Errorf("a rate of %g a second", l.PerSecond)
+		return errors.Errorf("invalid rate of %g a second", l.PerSecond)
 	case !usable(l.Burst):
-		return errors.Errorf("a burst of %g", l.Burst)
+		return errors.Errorf("invalid burst of %g", l.Burst)
 	case l.DefaultTokens < 0 || l.DefaultTokens > maxRequestTokens:
-		return errors.Errorf("%d tokens for a request that does not say its tokens", l.DefaultTokens)
+		return errors.Errorf("invalid default of %d tokens for a request that does not declare its tokens", l.DefaultTokens)
 	}
 	return nil
 }
 
 func usable(v float64) bool { return !math.IsNaN(v) && v >= 0 && v <= maxPerSecond }
 
-// Cost returns what a request counts. Said is whether it names its tokens.
-func (l *RateLimit) Cost(promptTokens, outputTokens int, said bool) int64 {
+// Cost returns what a request counts against the limit, in its unit. declared says whether
+// the request declares its tokens.
+func (l *RateLimit) Cost(promptTokens, outputTokens int, declared bool) int64 {
 	switch {
 	case l.Unit == Requests:
 		return 1
-	case !said:
+	case !declared:
 		return int64(l.DefaultTokens)
 	default:
 		return int64(min(promptTokens, maxRequestTokens)) + int64(min(outputTokens, maxRequestTokens))
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -11,7 +11,7 @@
 	"github.com/briarlink/briarlink/internal/addr"
 )
 
-// Defaults returns settings with every default, and nothing that is required.
+// Defaults returns settings with all defaults; required settings are left empty.
 func Defaults() *pb.Settings {
 	return &pb.Settings{
 		Host:     &pb.HostSettings{},
@@ -51,12 +51,13 @@
 	}
 }
 
-// Check returns what is wrong with the values of s.
-func Check(s *pb.Settings) Mistakes { return check(s, &reader{lines: map[string]int{}}) }
+// Check validates the values of s. As s was not parsed from a file, all mistakes are reported
+// at line 1.
+func Check(s *pb.Settings) Mistakes { return check(s, &decoder{lines: map[string]int{}}) }
 
-// checker collects mistakes about values.
+// checker validates values and collects the mistakes.
 type checker struct {
-	r        *reader
+	r        *decoder
 	mistakes []Mistake
 }
 
@@ -75,17 +76,17 @@
 	c.require(d.AsDuration() > 0, path, "must be more than 0")
 }
 
-func (c *checker) within(path string, v, low, high float64) {
+func (c *checker) inRange(path string, v, low, high float64) {
 	c.require(v >= low && v <= high, path, "must be %g to %g", low, high)
 }
 
-func check(s *pb.Settings, r *reader) Mistakes {
+func check(s *pb.Settings, r *decoder) Mistakes {
 	c := &checker{r: r}
 	c.require(s.Host.Id != "", "host.id", "is required")
 	c.require(s.Host.AvailabilityZone != "", "host.availability_zone", "is required")
-	c.within("host.memory_mb", float64(s.Host.MemoryMb), 0, 1<<20)
-	c.within("host.cores", s.Host.Cores, 0, 1e4)
-	c.within("host.link_mbps", s.Host.LinkMbps, 0, 1e6)
+	c.inRange("host.memory_mb", float64(s.Host.MemoryMb), 0, 1<<20)
+	c.inRange("host.cores", s.Host.Cores, 0, 1e4)
+	c.inRange("host.link_mbps", s.Host.LinkMbps, 0, 1e6)
 	c.address("listen.caller", s.Listen.Caller, true)
 	c.address("listen.peer", s.Listen.Peer, true)
 	c.address("listen.ready", s.Listen.Ready, false)
@@ -120,14 +121,14 @@
 }
 
 func (c *checker) numbers(s *pb.Settings) {
-	c.within("request.max_body_bytes", float64(s.Request.MaxBodyBytes), 1<<10, 1<<30)
-	c.within("request.max_header_bytes", float64(s.Request.MaxHeaderBytes), 1<<10, 1<<20)
-	c.within("retry.ratio", s.Retry.Ratio, 0, 1)
-	c.within("retry.slack", float64(s.Retry.Slack), 0, 1e6)
-	c.within("quota.over", s.Quota.Over, 0, 1)
-	c.within("quota.slack", s.Quota.Slack, 0, 1e12)
-	c.within("move.share", s.Move.Share, 0, 1)
-	c.within("move.slack", s.Move.Slack, 0, 1e6)
-	c.within("weights.concurrency", float64(s.Weights.Concurrency), 1, 1e4)
-	c.within("log.lines_per_second", float64(s.Log.LinesPerSecond), 1, 1e6)
+	c.inRange("request.max_body_bytes", float64(s.Request.MaxBodyBytes), 1<<10, 1<<30)
+	c.inRange("request.max_header_bytes", float64(s.Request.MaxHeaderBytes), 1<<10, 1<<20)
+	c.inRange("retry.ratio", s.Retry.Ratio, 0, 1)
+	c.inRange("retry.slack", float64(s.Retry.Slack), 0, 1e6)
+	c.inRange("quota.over", s.Quota.Over, 0, 1)
+	c.inRange("quota.slack", s.Quota.Slack, 0, 1e12)
+	c.inRange("move.share", s.Move.Share, 0, 1)
+	c.inRange("move.slack", s.Move.Slack, 0, 1e6)
+	c.inRange("weights.concurrency", float64(s.Weights.Concurrency), 1, 1e4)
+	c.inRange("log.lines_per_second", float64(s.Log.LinesPerSecond), 1, 1e6)
 }
--- a/internal/settings/parse.go
+++ b/internal/settings/parse.go
@@ -1,5 +1,5 @@
-// Package settings reads an entry host's settings: JSON with comments, checked
-// whole against the schema, every mistake reported at once with its line.
+// Package settings parses an entry host's settings file, which is JSON with comments. It
+// checks the whole file against the schema and reports all mistakes at once, with their lines.
 package settings
 
 import (
@@ -17,7 +17,7 @@
 	pb "github.com/briarlink/briarlink/api/briarlink/v1"
 )
 
-// Mistake is one thing wrong with a settings file.
+// Mistake is one mistake in a settings file.
 type Mistake struct {
 	// Line counts from 1.
 	Line int
@@ -31,10 +31,10 @@
 	return fmt.Sprintf("line %d: %s: %s", m.Line, m.Path, m.Message)
 }
 
-// Mistakes is everything wrong with a settings file, in line order.
+// Mistakes are all mistakes in a settings file, in order of their lines.
 type Mistakes []Mistake
 
-// Error implements error with one line per mistake.
+// Error implements error; it returns one line for each mistake.
 func (ms Mistakes) Error() string {
 	lines := make([]string, len(ms))
 	for i, m := range ms {
@@ -43,14 +43,14 @@
 	return strings.Join(lines, "\n")
 }
 
-// Parse checks data and returns the settings with every default filled in.
+// Parse parses and validates data, and returns the settings with all defaults filled in.
 func Parse(data []byte) (*pb.Settings, error) {
 	root, err := hujson.Parse(data)
 	if err != nil {
 		return nil, errors.Wrap(err, "settings are not JSON with comments")
 	}
 	s := Defaults()
-	r := &reader{data: data, lines: map[string]int{}}
+	r := &decoder{data: data, lines: map[string]int{}}
 	r.message(s.ProtoReflect(), root, "")
 	r.mistakes = append(r.mistakes, check(s, r)...)
 	if len(r.mistakes) > 0 {
@@ -60,38 +60,39 @@
 	return s, nil
 }
 
-// reader walks a JSON value beside the schema.
-type reader struct {
-	data     []byte
+// decoder decodes a JSON value into a protobuf message by reflection.
+type decoder struct {
+	data []byte
+	// lines maps the path of each setting that is present to its line.
 	lines    map[string]int
 	mistakes Mistakes
 }
 
-func (r *reader) lineAt(offset int) int { return 1 + bytes.Count(r.data[:offset], []byte("\n")) }
+func (r *decoder) lineAt(offset int) int { return 1 + bytes.Count(r.data[:offset], []byte("\n")) }
 
-// line returns the line of a path, or of its nearest parent that is present.
-func (r *reader) line(path string) int {
+// line returns the line of the setting at a path, or of its nearest parent that is present.
+func (r *decoder) line(path string) int {
 	for path != "" {
 		if n, ok := r.lines[path]; ok {
 			return n
 		}
-		cut := strings.LastIndexAny(path, ".[")
-		if cut < 0 {
+		end := strings.LastIndexAny(path, ".[")
+		if end < 0 {
 			break
 		}
-		path = path[:cut]
+		path = path[:end]
 	}
 	return 1
 }
 
-func (r *reader) wrong(v hujson.Value, path, format string, args ...any) {
+func (r *decoder) addMistake(v hujson.Value, path, format string, args ...any) {
 	r.mistakes = append(r.mistakes, Mistake{r.lineAt(v.StartOffset), path, fmt.Sprintf(format, args...)})
 }
 
-func (r *reader) message(m protoreflect.Message, v hujson.Value, path string) {
+func (r *decoder) message(m protoreflect.Message, v hujson.Value, path string) {
 	obj, ok := v.Value.(*hujson.Object)
 	if !ok {
-		r.wrong(v, path, "want an object")
+		r.addMistake(v, path, "want an object")
 		return
 	}
 	seen := map[string]bool{}
@@ -99,23 +100,23 @@
 		name := member.Name.Value.(hujson.Literal).String()
 		child := strings.TrimPrefix(path+"."+name, ".")
 		if seen[name] {
-			r.wrong(member.Name, child, "set twice")
+			r.addMistake(member.Name, child, "set twice")
 			continue
 		}
 		seen[name] = true
 		r.lines[child] = r.lineAt(member.Name.StartOffset)
 		field := m.Descriptor().Fields().ByName(protoreflect.Name(name))
 		if field == nil {
-			r.wrong(member.Name, child, "unknown setting")
+			r.addMistake(member.Name, child, "unknown setting")
 			continue
 		}
 		r.field(m, field, member.Value, child)
 	}
 }
 
-func (r *reader) field(m protoreflect.Message, field protoreflect.FieldDescriptor, v hujson.Value, path string) {
+func (r *decoder) field(m protoreflect.Message, field protoreflect.FieldDescriptor, v hujson.Value, path string) {
 	if !field.IsList() && field.Kind() == protoreflect.MessageKind && !isDuration(field) {
-		// Filled in place, so that what is left out keeps its default.
+		// Decode in place, so that omitted settings keep their defaults.
 		r.message(m.Mutable(field).Message(), v, path)
 		return
 	}
@@ -127,7 +128,7 @@
 	}
 	array, ok := v.Value.(*hujson.Array)
 	if !ok {
-		r.wrong(v, path, "want a list")
+		r.addMistake(v, path, "want a list")
 		return
 	}
 	list := m.Mutable(field).List()
@@ -140,8 +141,8 @@
 	}
 }
 
-// value reads one value of the field's type.
-func (r *reader) value(empty protoreflect.Value, field protoreflect.FieldDescriptor, v hujson.Value, path string) (protoreflect.Value, bool) {
+// value decodes one value of the field's type.
+func (r *decoder) value(empty protoreflect.Value, field protoreflect.FieldDescriptor, v hujson.Value, path string) (protoreflect.Value, bool) {
 	if field.Kind() == protoreflect.MessageKind {
 		if isDuration(field) {
 			return r.duration(v, path)
@@ -162,7 +163,7 @@
 	case kind == protoreflect.Int32Kind && isInteger(lit):
 		return protoreflect.ValueOfInt32(int32(lit.Int())), true
 	default:
-		r.wrong(v, path, "want a %s without a unit", kind)
+		r.addMistake(v, path, "want a %s without a unit", kind)
 		return empty, false
 	}
 }
@@ -175,15 +176,15 @@
 	return lit.Kind() == '0' && lit.Float() == float64(lit.Int())
 }
 
-func (r *reader) duration(v hujson.Value, path string) (protoreflect.Value, bool) {
+func (r *decoder) duration(v hujson.Value, path string) (protoreflect.Value, bool) {
 	lit, _ := v.Value.(hujson.Literal)
 	if lit.Kind() != '"' {
-		r.wrong(v, path, `want a duration with its unit, such as "500ms" or "2s"`)
+		r.addMistake(v, path, `want a duration with its unit, such as "500ms" or "2s"`)
 		return protoreflect.Value{}, false
 	}
 	d, err := time.ParseDuration(lit.String())
 	if err != nil {
-		r.wrong(v, path, `%q is not a duration such as "500ms" or "2s"`, lit.String())
+		r.addMistake(v, path, `%q is not a duration such as "500ms" or "2s"`, lit.String())
 		return protoreflect.Value{}, false
 	}
 	return protoreflect.ValueOfMessage(durationpb.New(d).ProtoReflect()), true
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -88,15 +88,15 @@
 	}
 }
 
-// TestAnyTextIsAnswered feeds damaged settings: an answer, never a panic, and
-// always one that names a line.
-func TestAnyTextIsAnswered(t *testing.T) {
+// TestDamagedSettingsNeverPanic: for randomly damaged settings, Parse does not panic, and any
+// error names a line.
+func TestDamagedSettingsNeverPanic(t *testing.T) {
 	whole := "{" + required + `, "retry": {"slack": 3}}`
 	rapid.Check(t, func(t *rapid.T) {
 		at := rapid.IntRange(0, len(whole)-1).Draw(t, "at")
 		insert := rapid.SampledFrom([]string{"", "{", "}", "[", "1", `"x"`, ",", "null", "//"}).Draw(t, "insert")
-		cut := rapid.IntRange(0, 10).Draw(t, "cut")
-		text := whole[:at] + insert + whole[min(len(whole), at+cut):]
+		removed := rapid.IntRange(0, 10).Draw(t, "cut")
+		text := whole[:at] + insert + whole[min(len(whole), at+removed):]
 		if _, err := Parse([]byte(text)); err != nil && !strings.Contains(fmt.Sprint(err), "line") {
 			t.Fatalf("%s: %v", text, err)
 		}
