--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -14,10 +14,10 @@
 // Server implements AdminService.
 type Server struct{ status func() *pb.StatusResponse }
 
-// New returns the operators' calls over a function that tells a host's beliefs.
+// New returns a server whose status function returns the host's current status.
 func New(status func() *pb.StatusResponse) *Server { return &Server{status} }
 
-// Handler returns the path and the HTTP handler of the service.
+// Handler returns the service's URL path and HTTP handler.
 func (s *Server) Handler() (string, http.Handler) {
 	return briarlinkv1connect.NewAdminServiceHandler(s)
 }
@@ -27,7 +27,7 @@
 	return connect.NewResponse(s.status()), nil
 }
 
-// NewClient returns a client of the operators' calls at an entry host's IP:port.
+// NewClient returns a client for the operators' calls of the entry host at IP:port address.
 func NewClient(address string) briarlinkv1connect.AdminServiceClient {
 	return briarlinkv1connect.NewAdminServiceClient(http.DefaultClient, "http://"+address)
 }
--- a/internal/peer/pack.go
+++ b/internal/peer/pack.go
@@ -12,17 +12,17 @@
 )
 
 const (
-	// packFrom is the number of bytes from which records are deflated. Entries and
-	// configurations are much alike, and small hosts have slow links.
-	packFrom = 4 << 10
-	// maxUnpacked bounds what packed records may hold.
+	// packThreshold is the number of bytes from which records are compressed. Entries and
+	// configurations are repetitive, and small hosts have slow links.
+	packThreshold = 4 << 10
+	// maxUnpacked is the maximum size of decompressed records, in bytes.
 	maxUnpacked = 64 << 20
 )
 
-// Pack puts records into a response, deflated where they are many.
+// Pack puts records into a response, compressed if they exceed packThreshold.
 func Pack(records []*pb.TopicRecord, out *pb.FetchRecordsResponse) error {
 	list := &pb.RecordList{Records: records}
-	if proto.Size(list) < packFrom {
+	if proto.Size(list) < packThreshold {
 		out.Records = records
 		return nil
 	}
@@ -45,7 +45,7 @@
 	return nil
 }
 
-// Unpack returns the records of a response.
+// Unpack returns the records of a response, which may be compressed.
 func Unpack(in *pb.FetchRecordsResponse) ([]*pb.TopicRecord, error) {
 	if len(in.Packed) == 0 {
 		return in.Records, nil
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,4 +1,4 @@
-// Package peer carries messages between entry hosts over drpc.
+// Package peer implements remote procedure calls between entry hosts over drpc.
 package peer
 
 import (
@@ -19,7 +19,7 @@
 
 const dialTimeout = time.Second
 
-// Serve answers peers on listener until ctx ends.
+// Serve serves peers on listener until ctx ends.
 func Serve(ctx context.Context, listener net.Listener, service pb.DRPCPeerServiceServer) error {
 	mux := drpcmux.New()
 	if err := pb.DRPCRegisterPeerService(mux, service); err != nil {
@@ -28,8 +28,8 @@
 	return errors.Wrap(drpcserver.New(mux).Serve(ctx, listener), "serve peers")
 }
 
-// Client calls other entry hosts, over one connection to each. It is safe for
-// concurrent use.
+// Client calls other entry hosts over one connection to each, opened on first use. It is
+// safe for concurrent use.
 type Client struct {
 	mu    sync.Mutex
 	conns map[string]*drpcconn.Conn
@@ -38,7 +38,7 @@
 // NewClient returns a client without connections.
 func NewClient() *Client { return &Client{conns: map[string]*drpcconn.Conn{}} }
 
-// FetchRecords asks the peer at address for records of a topic.
+// FetchRecords fetches records of a topic from the peer at address.
 func (c *Client) FetchRecords(ctx context.Context, address string, in *pb.FetchRecordsRequest) (*pb.FetchRecordsResponse, error) {
 	return call(ctx, c, address, func(p pb.DRPCPeerServiceClient) (*pb.FetchRecordsResponse, error) {
 		return p.FetchRecords(ctx, in)
@@ -55,7 +55,8 @@
 	}
 }
 
-// call runs f on the connection to address and drops the connection on failure.
+// call calls f with a client on the connection to address, and drops the connection if f
+// fails.
 func call[T any](ctx context.Context, c *Client, address string, f func(pb.DRPCPeerServiceClient) (T, error)) (T, error) {
 	conn, err := c.conn(ctx, address)
 	if err != nil {
@@ -69,6 +70,7 @@
 	return out, errors.Wrapf(err, "call peer %s", address)
 }
 
+// conn returns the open connection to address, or opens one.
 func (c *Client) conn(ctx context.Context, address string) (drpc.Conn, error) {
 	c.mu.Lock()
 	conn := c.conns[address]
@@ -81,17 +83,18 @@
 	if err != nil {
 		return nil, errors.Wrapf(err, "dial peer %s", address)
 	}
-	fresh := drpcconn.New(raw)
+	opened := drpcconn.New(raw)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if other := c.conns[address]; other != nil {
-		fresh.Close()
+		opened.Close()
 		return other, nil
 	}
-	c.conns[address] = fresh
-	return fresh, nil
+	c.conns[address] = opened
+	return opened, nil
 }
 
+// drop closes a connection and removes it from the client.
 func (c *Client) drop(address string, conn drpc.Conn) {
 	conn.Close()
 	c.mu.Lock()
