--- a/internal/doccheck/doccheck_test.go
+++ b/internal/doccheck/doccheck_test.go
@@ -1,5 +1,5 @@
-// Package doccheck holds the tests that keep documents and code together. With
-// -update they rewrite what is generated.
+// Package doccheck has tests that keep the documents consistent with the code. With -update
+// they rewrite the generated documents.
 package doccheck
 
 import (
@@ -24,7 +24,7 @@
 	"github.com/briarlink/briarlink/internal/rollout"
 )
 
-// golden compares with a generated document.
+// golden compares a text with a generated document.
 func golden(t *testing.T, name, text string) {
 	t.Helper()
 	g := goldie.New(t, goldie.WithFixtureDir("../../docs"), goldie.WithNameSuffix(".md"))
@@ -47,7 +47,7 @@
 }
 
 func TestEveryKindIsExplained(t *testing.T) {
-	page := read(t, "OPERATIONS.md")
+	page := readDoc(t, "OPERATIONS.md")
 	for _, k := range errkind.All() {
 		if !strings.Contains(page, "`"+k.String()+"`") {
 			t.Errorf("docs/OPERATIONS.md does not say what to do about %s", k)
@@ -70,14 +70,15 @@
 	golden(t, "STATES", b.String())
 }
 
-// logCall finds a message at a level above debug.
+// logCall matches log calls at levels above debug.
 var logCall = regexp.MustCompile(`\.\s*(Info|Warn|Error)\("([^"]+)"`)
 
-// TestLogEvents keeps the table of log messages equal to the code.
+// TestLogEvents compares the document and the list of log messages with the log calls in
+// the code.
 func TestLogEvents(t *testing.T) {
-	out := sources(t, "../../internal", "../../cmd")
+	code := sources(t, "../../internal", "../../cmd")
 	levels := map[string]map[string]bool{}
-	for _, m := range logCall.FindAllStringSubmatch(out, -1) {
+	for _, m := range logCall.FindAllStringSubmatch(code, -1) {
 		if levels[m[2]] == nil {
 			levels[m[2]] = map[string]bool{}
 		}
@@ -94,7 +95,7 @@
 	goldie.New(t, goldie.WithFixtureDir("../obs"), goldie.WithNameSuffix(".txt")).Assert(t, "messages", []byte(list.String()))
 }
 
-// sources returns the Go code below some directories, tests left out.
+// sources returns the Go code in some directories and their subdirectories, without tests.
 func sources(t *testing.T, roots ...string) string {
 	t.Helper()
 	var b strings.Builder
@@ -114,7 +115,7 @@
 	return b.String()
 }
 
-func read(t *testing.T, name string) string {
+func readDoc(t *testing.T, name string) string {
 	t.Helper()
 	data, err := os.ReadFile("../../docs/" + name)
 	if err != nil {
@@ -130,13 +131,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	names := testName.FindAllStringSubmatch(read(t, "RULES.md"), -1)
+	names := testName.FindAllStringSubmatch(readDoc(t, "RULES.md"), -1)
 	if len(names) == 0 {
 		t.Fatal("docs/RULES.md names no test")
 	}
 	for _, n := range names {
 		if !strings.Contains(string(out)+"\n", "func "+n[1]+"\n") {
-			t.Errorf("docs/RULES.md names %s, which does not exist", n[1])
+			t.Errorf("docs/RULES.md names the test %s, which does not exist", n[1])
 		}
 	}
 }
--- a/internal/statemachine/statemachine.go
+++ b/internal/statemachine/statemachine.go
@@ -1,4 +1,4 @@
-// Package statemachine has what every state machine of this program shares.
+// Package statemachine has helpers shared by all state machines of this program.
 package statemachine
 
 import (
@@ -7,8 +7,8 @@
 	"github.com/looplab/fsm"
 )
 
-// Fire moves m by event and reports whether it moved. An event that does not
-// belong to the present state changes nothing.
+// Fire sends an event to m and reports whether it caused a transition. An event that is not
+// allowed in the current state changes nothing.
 func Fire(m *fsm.FSM, event string) bool { return m.Event(context.Background(), event) == nil }
 
 // Diagram returns m as a Mermaid state diagram.
