--- a/api/briarlink/v1/briarlinkv1connect/admin.connect.go
+++ b/api/briarlink/v1/briarlinkv1connect/admin.connect.go
@@ -2,7 +2,7 @@
 //
 // Source: briarlink/v1/admin.proto
 
-// Operators' remote procedure calls.
+// Remote procedure calls for operators.
 package briarlinkv1connect
 
 import (
