--- a/test/soak/check.go
+++ b/test/soak/check.go
@@ -14,37 +14,37 @@
 )
 
 const (
-	// touch is how long after a disturbance a host is out of touch: promises with a
-	// bound in time do not hold for it yet.
-	touch = 3 * time.Second
-	// applyTime is when a configuration must be in force, drainTime when a leaving
-	// server must get nothing new.
+	// recoveryTime is how long after the end of a disturbance guarantees with a time limit
+	// do not hold yet for the disturbed host.
+	recoveryTime = 3 * time.Second
+	// applyTime is how soon a configuration must be in force, and drainTime how soon a
+	// leaving server must receive no new requests.
 	applyTime = 2 * time.Second
 	drainTime = 2 * time.Second
 )
 
-// disturbance is something done to a host, to a server, or to the store.
+// disturbance is a fault or planned work that affects a host, a server or the store.
 type disturbance struct {
-	what string
-	// host is the one that is disturbed; nil for all.
+	name string
+	// host is the disturbed host; nil means all.
 	host     *host
 	from, to time.Time
-	// planned is a stop or a reload of its host.
+	// planned marks a graceful stop or a reload of the host.
 	planned bool
 }
 
 // disturbances is safe for concurrent use.
 type disturbances struct {
-	mu  sync.Mutex
-	all []*disturbance
+	mu   sync.Mutex
+	list []*disturbance
 }
 
-// begin notes a disturbance that lasts until its end is called.
-func (ds *disturbances) begin(what string, h *host, planned bool) func() {
-	d := &disturbance{what: what, host: h, from: time.Now(), planned: planned}
+// begin records a disturbance, which lasts until the returned function is called.
+func (ds *disturbances) begin(name string, h *host, planned bool) func() {
+	d := &disturbance{name: name, host: h, from: time.Now(), planned: planned}
 	ds.mu.Lock()
 	defer ds.mu.Unlock()
-	ds.all = append(ds.all, d)
+	ds.list = append(ds.list, d)
 	return func() {
 		ds.mu.Lock()
 		defer ds.mu.Unlock()
@@ -52,13 +52,13 @@
 	}
 }
 
-// any reports whether something that match takes disturbed the time, or the touch
-// before it.
+// any reports whether a matching disturbance overlaps the period or ended less than
+// recoveryTime before it.
 func (ds *disturbances) any(from, to time.Time, match func(*disturbance) bool) bool {
 	ds.mu.Lock()
 	defer ds.mu.Unlock()
-	for _, d := range ds.all {
-		over := !d.to.IsZero() && d.to.Before(from.Add(-touch))
+	for _, d := range ds.list {
+		over := !d.to.IsZero() && d.to.Before(from.Add(-recoveryTime))
 		if !over && d.from.Before(to) && match(d) {
 			return true
 		}
@@ -66,13 +66,15 @@
 	return false
 }
 
-// inTouch reports whether a host was undisturbed; nil stands for all hosts.
-func (ds *disturbances) inTouch(h *host, from, to time.Time) bool {
+// undisturbed reports whether a host, or with nil every host, was free of disturbances.
+// Crashes of servers while they run a request don't count.
+func (ds *disturbances) undisturbed(h *host, from, to time.Time) bool {
 	return !ds.any(from, to, func(d *disturbance) bool {
-		return d.what != crashUnderRequest && (d.host == nil || h == nil || d.host == h)
+		return d.name != crashWhileRunning && (d.host == nil || h == nil || d.host == h)
 	})
 }
 
+// run is one execution of a request at a server.
 type run struct {
 	server       string
 	organisation string
@@ -80,79 +82,80 @@
 	at           time.Time
 }
 
-// record is what was seen at callers and at servers.
-type record struct {
+// observations holds what callers and servers observed.
+type observations struct {
 	mu       sync.Mutex
 	runs     map[string][]run
-	requests []*sent
-	// left is when the store took the word that a server leaves.
-	left map[string]time.Time
-	// holders is who gave orders under each fencing token.
+	requests []*request
+	// leavingSince is when the store began to show that a server leaves.
+	leavingSince map[string]time.Time
+	// holders maps each fencing token to the host that sent commands with it.
 	holders map[int64]string
-	// denied is when a start of a host first refused a revoked key.
+	// denied is when an incarnation of a host first refused a revoked key.
 	denied map[string]time.Time
-	// spoiled holds the requests that a server itself answered wrongly or cut.
-	spoiled map[string]bool
-	broken  []string
+	// serverFaults holds the requests that a server itself answered wrongly or cut off.
+	serverFaults map[string]bool
+	violations   []string
 }
 
-func newRecord() *record {
-	return &record{runs: map[string][]run{}, left: map[string]time.Time{}, holders: map[int64]string{}, denied: map[string]time.Time{}, spoiled: map[string]bool{}}
+func newObservations() *observations {
+	return &observations{runs: map[string][]run{}, leavingSince: map[string]time.Time{}, holders: map[int64]string{}, denied: map[string]time.Time{}, serverFaults: map[string]bool{}}
 }
 
-func (r *record) fail(format string, args ...any) {
+// fail records a violation of a guarantee.
+func (r *observations) fail(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.broken = append(r.broken, fmt.Sprintf("%s %s", time.Now().Format("15:04:05.000"), fmt.Sprintf(format, args...)))
+	r.violations = append(r.violations, fmt.Sprintf("%s %s", time.Now().Format("15:04:05.000"), fmt.Sprintf(format, args...)))
 }
 
-func (r *record) ran(server, id string, h http.Header) {
+func (r *observations) recordRun(server, id string, h http.Header) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.runs[id] = append(r.runs[id], run{server, h.Get(wire.Organisation), h.Get(wire.Key), time.Now()})
 }
 
-func (r *record) spoils(id string) {
+func (r *observations) recordServerFault(id string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.spoiled[id] = true
+	r.serverFaults[id] = true
 }
 
-func (r *record) wasSpoiled(id string) bool {
+func (r *observations) hasServerFault(id string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.spoiled[id]
+	return r.serverFaults[id]
 }
 
-func (r *record) runsOf(id string) []run {
+func (r *observations) runsOf(id string) []run {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.runs[id]
 }
 
-func (r *record) leaves(server string) {
+func (r *observations) recordLeaving(server string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.left[server] = time.Now()
+	r.leavingSince[server] = time.Now()
 }
 
-func (r *record) ordered(holder string, fence int64) {
+func (r *observations) recordCommand(holder string, fence int64) {
 	r.mu.Lock()
 	other := r.holders[fence]
 	r.holders[fence] = holder
 	r.mu.Unlock()
 	if other != "" && other != holder {
-		r.fail("two holders, %s and %s, gave orders under fencing token %d", other, holder, fence)
+		r.fail("two holders, %s and %s, sent commands with fencing token %d", other, holder, fence)
 	}
 }
 
-func (r *record) add(s *sent) {
+func (r *observations) add(s *request) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.requests = append(r.requests, s)
 }
 
-// notRun reports whether a status promises that the request has not run.
+// notRun reports whether a status guarantees that the request has not run.
 func notRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
@@ -162,44 +165,45 @@
 	}
 }
 
-// judge checks what can be told from one request's end.
-func (w *world) judge(s *sent) {
+// check checks all that the outcome of a single request shows.
+func (fx *fixture) check(s *request) {
 	took := s.to.Sub(s.from)
 	if s.err != nil {
-		if took >= deadline+lateSlack && s.host != nil && w.faults.inTouch(s.host, s.from, s.to) {
-			w.seen.fail("request %s had no answer %v after its deadline", s.id, lateSlack)
+		if took >= deadline+deadlineSlack && s.host != nil && fx.faults.undisturbed(s.host, s.from, s.to) {
+			fx.observed.fail("request %s had no answer %v after its deadline", s.id, deadlineSlack)
 		}
-		w.judgeLost(s)
+		fx.checkLost(s)
 		return
 	}
 	switch {
 	case s.answer.Status == http.StatusOK:
-		w.seen.judgeSuccess(s)
-		w.said.hear(s, sealOf(s.answer.Header))
+		fx.observed.checkSuccess(s)
+		fx.notices.recordAnswer(s, sealOf(s.answer.Header))
 	case s.answer.Header.Get(wire.Seal) != "" && s.answer.Status != http.StatusInternalServerError:
-		w.seen.fail("request %s: %d bears a server's seal", s.id, s.answer.Status)
+		fx.observed.fail("request %s: %d bears a server's seal", s.id, s.answer.Status)
 	}
 	if !s.answer.Whole {
-		w.judgeLost(s)
+		fx.checkLost(s)
 	}
-	w.judgeKey(s)
-	w.judgeDenied(s)
+	fx.checkKey(s)
+	fx.checkDenied(s)
 }
 
-// judgeLost holds a host to its word when nothing but its own planned stop or
-// reload is going on: what it has passed on is answered.
-func (w *world) judgeLost(s *sent) {
+// checkLost checks that planned stops and reloads lose no answer: without other
+// disturbances, a request that a host has forwarded is answered completely.
+func (fx *fixture) checkLost(s *request) {
 	if s.host == nil || s.to.Sub(s.from) >= deadline {
 		return
 	}
-	other := w.faults.any(s.from, s.to, func(d *disturbance) bool { return !d.planned })
-	if !other && len(w.seen.runsOf(s.id)) > 0 && !w.seen.wasSpoiled(s.id) {
-		w.seen.fail("request %s was passed on and has no whole answer around a planned stop of %s: %v", s.id, s.host.id, s.err)
+	other := fx.faults.any(s.from, s.to, func(d *disturbance) bool { return !d.planned })
+	if !other && len(fx.observed.runsOf(s.id)) > 0 && !fx.observed.hasServerFault(s.id) {
+		fx.observed.fail("request %s was forwarded and has no complete answer around a planned stop of %s: %v", s.id, s.host.id, s.err)
 	}
 }
 
-// judgeSuccess checks that a success is a server's whole answer to this request.
-func (r *record) judgeSuccess(s *sent) {
+// checkSuccess checks that a successful answer comes from a server that ran this request
+// and has the expected content.
+func (r *observations) checkSuccess(s *request) {
 	id := sealOf(s.answer.Header)
 	ran := false
 	for _, run := range r.runsOf(s.id) {
@@ -224,7 +228,8 @@
 // streamEvents is the number of events of every stream.
 const streamEvents = 8
 
-// wrongStream says what is wrong with the events that a caller got, or "".
+// wrongStream describes what is wrong with the events that a caller received, or returns
+// "".
 func wrongStream(body string, whole bool) string {
 	got := 0
 	for n := 1; n <= streamEvents; n++ {
@@ -236,82 +241,83 @@
 	}
 	switch {
 	case body != "":
-		return "after event " + strconv.Itoa(got) + " the stream goes on with " + strconv.Quote(body[:min(len(body), 40)])
+		return "after event " + strconv.Itoa(got) + " the stream continues with " + strconv.Quote(body[:min(len(body), 40)])
 	case whole && got < streamEvents:
-		return "the stream ends as whole after event " + strconv.Itoa(got)
+		return "the stream ends as complete after event " + strconv.Itoa(got)
 	default:
 		return ""
 	}
 }
 
-// judgeKey checks an answer against the configurations that may be in force.
-func (w *world) judgeKey(s *sent) {
+// checkKey checks an answer against the API keys that may be in force.
+func (fx *fixture) checkKey(s *request) {
 	denied := s.answer.Status == http.StatusUnauthorized
 	if mainKeys[s.key] != "" {
 		if denied || s.answer.Status == http.StatusNotFound {
-			w.seen.fail("request %s: %d though its key and route always held", s.id, s.answer.Status)
+			fx.observed.fail("request %s: %d though its key and route were always in force", s.id, s.answer.Status)
 		}
 		return
 	}
-	granted, revoked := w.config.spare()
-	inTouch := w.faults.inTouch(s.host, s.from, s.to)
-	if at, ok := granted[s.key]; ok && denied && inTouch && s.from.Sub(at) > applyTime {
-		w.seen.fail("request %s: 401, %v after its key was granted", s.id, s.from.Sub(at))
+	granted, revoked := fx.operator.spareKeys()
+	undisturbed := fx.faults.undisturbed(s.host, s.from, s.to)
+	if at, ok := granted[s.key]; ok && denied && undisturbed && s.from.Sub(at) > applyTime {
+		fx.observed.fail("request %s: 401, %v after its key was granted", s.id, s.from.Sub(at))
 	}
 	at, ok := revoked[s.key]
 	if !ok {
 		return
 	}
-	ran := len(w.seen.runsOf(s.id)) > 0
-	if ran && inTouch && s.from.Sub(at) > applyTime {
-		w.seen.fail("request %s ran %v after its key was revoked", s.id, s.from.Sub(at))
+	ran := len(fx.observed.runsOf(s.id)) > 0
+	if ran && undisturbed && s.from.Sub(at) > applyTime {
+		fx.observed.fail("request %s ran %v after its key was revoked", s.id, s.from.Sub(at))
 	}
-	w.judgeRegress(s, denied, ran)
+	fx.checkStaysRevoked(s, denied, ran)
 }
 
-// judgeRegress: a start of a host that knew of a revocation does not forget it.
-func (w *world) judgeRegress(s *sent, denied, ran bool) {
-	if s.host == nil || s.boot == 0 {
+// checkStaysRevoked checks that an incarnation of a host that has refused a revoked key
+// does not accept it later.
+func (fx *fixture) checkStaysRevoked(s *request, denied, ran bool) {
+	if s.host == nil || s.incarnation == 0 {
 		return
 	}
-	name := fmt.Sprintf("%s/%d/%s", s.host.id, s.boot, s.key)
-	w.seen.mu.Lock()
-	before, known := w.seen.denied[name]
+	name := fmt.Sprintf("%s/%d/%s", s.host.id, s.incarnation, s.key)
+	fx.observed.mu.Lock()
+	before, known := fx.observed.denied[name]
 	if denied && !known {
-		w.seen.denied[name] = s.to
+		fx.observed.denied[name] = s.to
 	}
-	w.seen.mu.Unlock()
+	fx.observed.mu.Unlock()
 	if known && ran && s.from.After(before) {
-		w.seen.fail("request %s: %s accepts a key again that it refused before", s.id, s.host.id)
+		fx.observed.fail("request %s: %s accepts a key again that it refused before", s.id, s.host.id)
 	}
 }
 
-// judgeAll checks what only the end shows.
-func (w *world) judgeAll() {
-	w.seen.mu.Lock()
-	requests := w.seen.requests
-	w.seen.mu.Unlock()
-	w.seen.judgeLimit()
-	w.judgePoison(requests)
-	w.judgeBackoffs(requests)
-	w.judgeMove()
+// checkAll checks what shows only at the end of a run.
+func (fx *fixture) checkAll() {
+	fx.observed.mu.Lock()
+	requests := fx.observed.requests
+	fx.observed.mu.Unlock()
+	fx.observed.checkRateLimit()
+	fx.checkPoison(requests)
+	fx.checkBackoffs(requests)
+	fx.checkCanary()
 	for _, s := range requests {
-		runs := w.seen.runsOf(s.id)
-		if s.kind.once() && len(runs) > 1 {
-			w.seen.fail("request %s of %s ran %d times", s.id, s.kind.name, len(runs))
+		runs := fx.observed.runsOf(s.id)
+		if s.kind.atMostOnce() && len(runs) > 1 {
+			fx.observed.fail("request %s of %s ran %d times", s.id, s.kind.name, len(runs))
 		}
-		if s.kind.once() && s.err == nil && notRun(s.answer.Status) && len(runs) > 0 {
-			w.seen.fail("request %s of %s was answered %d and ran", s.id, s.kind.name, s.answer.Status)
+		if s.kind.atMostOnce() && s.err == nil && notRun(s.answer.Status) && len(runs) > 0 {
+			fx.observed.fail("request %s of %s was answered %d and ran", s.id, s.kind.name, s.answer.Status)
 		}
 		for _, r := range runs {
-			w.judgeRun(s, r)
+			fx.checkRun(s, r)
 		}
 	}
 }
 
-// judgeLimit holds the hosts together to the limit of one organisation, as its runs at the
-// servers show, whatever is done to the hosts meanwhile.
-func (r *record) judgeLimit() {
+// checkRateLimit checks that the hosts together keep the rate limit of one organisation.
+// It counts runs at the servers; no fault excuses an excess.
+func (r *observations) checkRateLimit() {
 	r.mu.Lock()
 	var at []time.Time
 	for _, runs := range r.runs {
@@ -336,22 +342,23 @@
 	}
 }
 
-func (w *world) judgeRun(s *sent, r run) {
+// checkRun checks one run of a request at a server.
+func (fx *fixture) checkRun(s *request, r run) {
 	if r.key != "" {
-		w.seen.fail("request %s: its key was passed on", s.id)
+		fx.observed.fail("request %s: its key was forwarded", s.id)
 	}
 	want := mainKeys[s.key]
 	if want == "" {
 		want = spareOrganisation
 	}
 	if r.organisation != want {
-		w.seen.fail("request %s ran for organisation %q, want %q", s.id, r.organisation, want)
+		fx.observed.fail("request %s ran for organisation %q, want %q", s.id, r.organisation, want)
 	}
-	w.judgeLeft(s, r)
-	w.seen.mu.Lock()
-	left, leaving := w.seen.left[r.server]
-	w.seen.mu.Unlock()
-	if leaving && r.at.Sub(left) > drainTime && s.from.After(left.Add(drainTime)) && w.faults.inTouch(nil, left, r.at) {
-		w.seen.fail("request %s ran on %s, %v after that said it leaves", s.id, r.server, r.at.Sub(left))
+	fx.checkLeaving(s, r)
+	fx.observed.mu.Lock()
+	since, leaving := fx.observed.leavingSince[r.server]
+	fx.observed.mu.Unlock()
+	if leaving && r.at.Sub(since) > drainTime && s.from.After(since.Add(drainTime)) && fx.faults.undisturbed(nil, since, r.at) {
+		fx.observed.fail("request %s ran on %s, %v after its leave notice", s.id, r.server, r.at.Sub(since))
 	}
 }
--- a/test/soak/check_test.go
+++ b/test/soak/check_test.go
@@ -15,161 +15,164 @@
 	"github.com/briarlink/briarlink/test/standin/wire"
 )
 
-func testWorld() *world {
-	return &world{config: newOperator(store.New()), seen: newRecord(), said: newNotices(), faults: &disturbances{}}
+func testFixture() *fixture {
+	return &fixture{operator: newOperator(store.New()), observed: newObservations(), notices: newNotices(), faults: &disturbances{}}
 }
 
-// ended returns a request of a kind that a host answered just now.
-func ended(k *kind, status int, seal string) *sent {
+// ended returns a request of a kind that was answered just now.
+func ended(k *kind, status int, seal string) *request {
 	h := http.Header{}
 	h.Set(wire.Seal, seal)
 	h.Set(wire.Attempt, "r")
 	now := time.Now()
-	return &sent{id: "r", kind: k, key: "key-of-museum-a", from: now.Add(-time.Millisecond), to: now, answer: caller.Answer{Status: status, Header: h, Whole: true}}
+	return &request{id: "r", kind: k, key: "key-of-museum-a", from: now.Add(-time.Millisecond), to: now, answer: caller.Answer{Status: status, Header: h, Whole: true}}
 }
 
-func ran(w *world, server string) {
+func recordTestRun(fx *fixture, server string) {
 	h := http.Header{}
 	h.Set(wire.Organisation, "museum-a")
-	w.seen.ran(server, "r", h)
+	fx.observed.recordRun(server, "r", h)
 }
 
-// TestBrokenPromisesAreSeen: each check finds what it is for.
-func TestBrokenPromisesAreSeen(t *testing.T) {
+// TestViolationsAreDetected guards against checks that detect nothing: for each check it
+// sets up a violation and expects it to be reported.
+func TestViolationsAreDetected(t *testing.T) {
 	updates, notes := kinds[2], kinds[1]
-	for want, do := range map[string]func(w *world){
-		"ran 2 times": func(w *world) {
-			ran(w, "i-1")
-			ran(w, "i-2")
-			w.seen.add(ended(updates, http.StatusBadGateway, ""))
+	for want, do := range map[string]func(fx *fixture){
+		"ran 2 times": func(fx *fixture) {
+			recordTestRun(fx, "i-1")
+			recordTestRun(fx, "i-2")
+			fx.observed.add(ended(updates, http.StatusBadGateway, ""))
 		},
-		"of museum-d ran in 4s": func(w *world) {
+		"of museum-d ran in 4s": func(fx *fixture) {
 			h := http.Header{}
 			h.Set(wire.Organisation, limitedOrganisation)
 			for i := range 60 {
-				w.seen.ran("i-1", fmt.Sprint("d-", i), h)
+				fx.observed.recordRun("i-1", fmt.Sprint("d-", i), h)
 			}
 		},
-		"was answered 503 and ran": func(w *world) {
-			ran(w, "i-1")
-			w.seen.add(ended(updates, http.StatusServiceUnavailable, ""))
+		"was answered 503 and ran": func(fx *fixture) {
+			recordTestRun(fx, "i-1")
+			fx.observed.add(ended(updates, http.StatusServiceUnavailable, ""))
 		},
-		"which did not run it": func(w *world) { w.judge(ended(updates, http.StatusOK, "seal-of-i-1")) },
-		"want \"answer of i-1": func(w *world) {
-			ran(w, "i-1")
-			w.judge(ended(updates, http.StatusOK, "seal-of-i-1"))
+		"which did not run it": func(fx *fixture) { fx.check(ended(updates, http.StatusOK, "seal-of-i-1")) },
+		"want \"answer of i-1": func(fx *fixture) {
+			recordTestRun(fx, "i-1")
+			fx.check(ended(updates, http.StatusOK, "seal-of-i-1"))
 		},
-		"ends as whole after event 0": func(w *world) {
-			ran(w, "i-1")
-			w.judge(ended(notes, http.StatusOK, "seal-of-i-1"))
+		"ends as complete after event 0": func(fx *fixture) {
+			recordTestRun(fx, "i-1")
+			fx.check(ended(notes, http.StatusOK, "seal-of-i-1"))
 		},
-		"bears a server's seal": func(w *world) { w.judge(ended(updates, http.StatusServiceUnavailable, "seal-of-i-1")) },
-		"though its key and route always held": func(w *world) {
-			w.judge(ended(updates, http.StatusUnauthorized, ""))
+		"bears a server's seal": func(fx *fixture) { fx.check(ended(updates, http.StatusServiceUnavailable, "seal-of-i-1")) },
+		"though its key and route were always in force": func(fx *fixture) {
+			fx.check(ended(updates, http.StatusUnauthorized, ""))
 		},
-		"ran for organisation": func(w *world) {
-			w.seen.ran("i-1", "r", http.Header{})
-			w.seen.add(ended(updates, http.StatusBadGateway, ""))
+		"ran for organisation": func(fx *fixture) {
+			fx.observed.recordRun("i-1", "r", http.Header{})
+			fx.observed.add(ended(updates, http.StatusBadGateway, ""))
 		},
-		"after that said it leaves": func(w *world) {
+		"after its leave notice": func(fx *fixture) {
 			s := ended(updates, http.StatusBadGateway, "")
-			w.seen.left["i-1"] = s.from.Add(-2 * drainTime)
-			ran(w, "i-1")
-			w.seen.add(s)
+			fx.observed.leavingSince["i-1"] = s.from.Add(-2 * drainTime)
+			recordTestRun(fx, "i-1")
+			fx.observed.add(s)
 		},
-		"ran 4 times more, sent on by hosts in touch": func(w *world) {
+		"ran 4 times more, forwarded by undisturbed hosts": func(fx *fixture) {
 			for i := range 2*poisonCrashes + 1 {
 				s := ended(notes, http.StatusBadGateway, "")
 				s.id, s.poison, s.host = fmt.Sprint("poison-", i), true, &host{id: "entry-0"}
-				w.seen.runs[s.id] = []run{{server: fmt.Sprint("i-", i), organisation: "museum-a", at: s.to.Add(-touch)}}
+				fx.observed.runs[s.id] = []run{{server: fmt.Sprint("i-", i), organisation: "museum-a", at: s.to.Add(-recoveryTime)}}
 				if i >= poisonCrashes {
 					s.from = s.to.Add(time.Second)
-					w.seen.runs[s.id][0].at = s.from
+					fx.observed.runs[s.id][0].at = s.from
 				}
-				w.seen.add(s)
+				fx.observed.add(s)
 			}
 		},
-		"after an answer had told the host that the server leaves": func(w *world) {
+		"after an answer had given the host the server's leave notice": func(fx *fixture) {
 			h := &host{id: "entry-0"}
-			told, later := ended(updates, http.StatusOK, "seal-of-i-1"), ended(updates, http.StatusBadGateway, "")
-			told.host, told.boot, told.to = h, 1, time.Now().Add(-2*drainTime)
-			told.answer.Header.Set(wire.Leaving, "1")
-			w.said.hear(told, "i-1")
-			later.host, later.boot = h, 1
-			ran(w, "i-1")
-			w.seen.add(later)
+			notice, later := ended(updates, http.StatusOK, "seal-of-i-1"), ended(updates, http.StatusBadGateway, "")
+			notice.host, notice.incarnation, notice.to = h, 1, time.Now().Add(-2*drainTime)
+			notice.answer.Header.Set(wire.Leaving, "1")
+			fx.notices.recordAnswer(notice, "i-1")
+			later.host, later.incarnation = h, 1
+			recordTestRun(fx, "i-1")
+			fx.observed.add(later)
 		},
-		"i-1 asked entry-0 to back off and got 3 requests": func(w *world) {
+		"i-1 asked entry-0 to back off and received 3 requests": func(fx *fixture) {
 			h, now := &host{id: "entry-0"}, time.Now()
 			for i := range backoffAllowed + 2 {
 				s := ended(updates, http.StatusServiceUnavailable, "")
-				s.id, s.host, s.boot = fmt.Sprint("backoff-", i), h, 1
-				w.seen.add(s)
+				s.id, s.host, s.incarnation = fmt.Sprint("backoff-", i), h, 1
+				fx.observed.add(s)
 				at := now.Add(time.Duration(i) * 2 * backoffMargin)
-				w.said.refusals = append(w.said.refusals, refusal{s.id, "i-1", at, now.Add(time.Minute)})
+				fx.notices.rejections = append(fx.notices.rejections, rejection{s.id, "i-1", at, now.Add(time.Minute)})
 			}
 		},
-		"r of updates was denied": func(w *world) { w.judge(ended(updates, http.StatusBadRequest, "")) },
-		"two holders": func(w *world) {
-			w.seen.ordered("a", 1)
-			w.seen.ordered("b", 1)
+		"r of updates was denied": func(fx *fixture) { fx.check(ended(updates, http.StatusBadRequest, "")) },
+		"two holders": func(fx *fixture) {
+			fx.observed.recordCommand("a", 1)
+			fx.observed.recordCommand("b", 1)
 		},
-		"was passed on and has no whole answer around a planned stop of entry-0: http": func(w *world) {
-			ran(w, "i-1")
+		"was forwarded and has no complete answer around a planned stop of entry-0: http": func(fx *fixture) {
+			recordTestRun(fx, "i-1")
 			s := ended(updates, 0, "")
 			s.host, s.err = &host{id: "entry-0"}, http.ErrServerClosed
-			w.judge(s)
+			fx.check(s)
 		},
-		"has no whole answer around a planned stop of entry-1": func(w *world) {
-			ran(w, "i-1")
+		"has no complete answer around a planned stop of entry-1": func(fx *fixture) {
+			recordTestRun(fx, "i-1")
 			s := ended(notes, http.StatusOK, "seal-of-i-1")
 			s.host, s.answer.Whole = &host{id: "entry-1"}, false
-			w.judge(s)
+			fx.check(s)
 		},
 	} {
-		w := testWorld()
-		do(w)
-		w.judgeAll()
-		if all := strings.Join(w.seen.broken, "\n"); !strings.Contains(all, want) {
-			t.Errorf("want %q among what is broken: %q", want, all)
+		fx := testFixture()
+		do(fx)
+		fx.checkAll()
+		if all := strings.Join(fx.observed.violations, "\n"); !strings.Contains(all, want) {
+			t.Errorf("want %q among the violations: %q", want, all)
 		}
 	}
 }
 
-// TestRevokedKeys: refused in time, and never accepted again.
+// TestRevokedKeys checks that a run with a revoked key counts both as too late and as
+// accepted again after a refusal.
 func TestRevokedKeys(t *testing.T) {
-	w := testWorld()
-	w.config.revoke()
-	w.config.revoked["spare-key-1"] = time.Now().Add(-2 * applyTime)
+	fx := testFixture()
+	fx.operator.revoke()
+	fx.operator.revoked["spare-key-1"] = time.Now().Add(-2 * applyTime)
 	s := ended(kinds[2], http.StatusBadGateway, "")
-	s.key, s.host, s.boot = "spare-key-1", &host{id: "entry-0"}, 1
-	w.seen.denied["entry-0/1/spare-key-1"] = s.from.Add(-time.Millisecond)
-	ran(w, "i-1")
-	w.judge(s)
-	if len(w.seen.broken) != 2 {
-		t.Errorf("broken: %q", w.seen.broken)
+	s.key, s.host, s.incarnation = "spare-key-1", &host{id: "entry-0"}, 1
+	fx.observed.denied["entry-0/1/spare-key-1"] = s.from.Add(-time.Millisecond)
+	recordTestRun(fx, "i-1")
+	fx.check(s)
+	if len(fx.observed.violations) != 2 {
+		t.Errorf("violations: %q", fx.observed.violations)
 	}
-	// One that was sent before the refusal was known may still run.
-	w = testWorld()
-	w.config.revoke()
-	w.seen.denied["entry-0/1/spare-key-1"] = s.from.Add(time.Nanosecond)
-	ran(w, "i-1")
-	w.judge(s)
-	if len(w.seen.broken) != 0 {
-		t.Errorf("broken: %q", w.seen.broken)
+	// A request that was sent before the first refusal may still run.
+	fx = testFixture()
+	fx.operator.revoke()
+	fx.observed.denied["entry-0/1/spare-key-1"] = s.from.Add(time.Nanosecond)
+	recordTestRun(fx, "i-1")
+	fx.check(s)
+	if len(fx.observed.violations) != 0 {
+		t.Errorf("violations: %q", fx.observed.violations)
 	}
 }
 
-// TestServersOwnFaultsAreExcused: an answer that its server cut is nobody else's.
+// TestServersOwnFaultsAreExcused: an answer that its server cut off must not count against
+// the host.
 func TestServersOwnFaultsAreExcused(t *testing.T) {
-	w := testWorld()
-	ran(w, "i-1")
-	w.seen.spoils("r")
+	fx := testFixture()
+	recordTestRun(fx, "i-1")
+	fx.observed.recordServerFault("r")
 	s := ended(kinds[1], http.StatusOK, "seal-of-i-1")
 	s.host, s.answer.Whole = &host{id: "entry-1"}, false
-	w.judge(s)
-	if len(w.seen.broken) != 0 {
-		t.Errorf("broken: %q", w.seen.broken)
+	fx.check(s)
+	if len(fx.observed.violations) != 0 {
+		t.Errorf("violations: %q", fx.observed.violations)
 	}
 }
 
@@ -196,23 +199,24 @@
 	}
 }
 
-// TestDisturbancesExcuse what lies within them and shortly after.
+// TestDisturbancesExcuse checks that a disturbance of a host excuses that host, during the
+// disturbance and for recoveryTime after it.
 func TestDisturbancesExcuse(t *testing.T) {
 	ds := &disturbances{}
 	a, b := &host{id: "a"}, &host{id: "b"}
 	end := ds.begin("kill", a, false)
 	end()
 	now := time.Now()
-	if ds.inTouch(a, now, now) || !ds.inTouch(b, now, now) || ds.inTouch(nil, now, now) {
+	if ds.undisturbed(a, now, now) || !ds.undisturbed(b, now, now) || ds.undisturbed(nil, now, now) {
 		t.Error("just after a disturbance of one host")
 	}
-	if later := now.Add(touch + time.Millisecond); !ds.inTouch(a, later, later) {
+	if later := now.Add(recoveryTime + time.Millisecond); !ds.undisturbed(a, later, later) {
 		t.Error("still disturbed long after")
 	}
 }
 
-// TestMalformedEntriesNameNoServer: none of them could be taken by a sound host, and
-// what is sent to their address is seen.
+// TestMalformedEntriesNameNoServer checks that no malformed entry decodes as a server, and
+// that the trap reports a request to the address in them.
 func TestMalformedEntriesNameNoServer(t *testing.T) {
 	for _, entry := range malformed {
 		rec := platform.Record{Key: "stranger-1", Value: fmt.Appendf(nil, entry, "127.0.0.1:80")}
@@ -220,8 +224,8 @@
 			t.Errorf("%s names %+v", entry, reg)
 		}
 	}
-	w := testWorld()
-	tr, err := newTrap("127.0.0.1:0", w.seen)
+	fx := testFixture()
+	tr, err := newTrap("127.0.0.1:0", fx.observed)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -231,12 +235,13 @@
 		t.Fatal(err)
 	}
 	resp.Body.Close()
-	if len(w.seen.broken) != 1 {
-		t.Errorf("broken: %q", w.seen.broken)
+	if len(fx.observed.violations) != 1 {
+		t.Errorf("violations: %q", fx.observed.violations)
 	}
 }
 
-// TestSeries: a seed's series stays, and one of planned work alone has nothing else.
+// TestSeries checks that a seed always gives the same series, and that some series, but not
+// all, consist of planned work alone.
 func TestSeries(t *testing.T) {
 	const length = 5 * time.Second
 	names := func(series []fault) (out []string) {
@@ -246,17 +251,17 @@
 		return out
 	}
 	unplanned := func(f fault) bool { return !f.planned }
-	alone := 0
-	for seed := uint64(sizedSeeds); seed < sizedSeeds+20; seed++ {
+	plannedSeries := 0
+	for seed := uint64(mixedSeeds); seed < mixedSeeds+20; seed++ {
 		series := seriesOf(seed, sizeOf(seed), length)
 		if !slices.Equal(names(series), names(seriesOf(seed, sizeOf(seed), length))) {
 			t.Errorf("seed %d has two series", seed)
 		}
 		if !slices.ContainsFunc(series, unplanned) {
-			alone++
+			plannedSeries++
 		}
 	}
-	if alone == 0 || alone == 20 {
-		t.Errorf("%d of 20 series are of planned work alone", alone)
+	if plannedSeries == 0 || plannedSeries == 20 {
+		t.Errorf("%d of 20 series are of planned work alone", plannedSeries)
 	}
 }
--- a/test/soak/host.go
+++ b/test/soak/host.go
@@ -13,17 +13,18 @@
 )
 
 const (
-	// grace is from SIGTERM to SIGKILL, in the hosts' settings too.
+	// grace is the time from SIGTERM to SIGKILL; the hosts' settings have the same value.
 	grace = 4 * time.Second
-	// exitSlack is how long after it a process may take to be gone.
+	// exitSlack is how long after the grace period a process may take to exit.
 	exitSlack = 500 * time.Millisecond
-	// quotaWindow, quotaOver and quotaSlack say how exactly limits are kept.
+	// quotaWindow, quotaOver and quotaSlack bound by how much the hosts together may
+	// exceed a rate limit.
 	quotaWindow = 4 * time.Second
 	quotaOver   = 0.1
 	quotaSlack  = 8
 )
 
-// host is one entry host: a process of the product's binary.
+// host is an entry host, which runs as a process of the product's binary.
 type host struct {
 	id, ip, zone string
 	cores        int
@@ -32,17 +33,17 @@
 	log          string
 	store        *proxy
 
-	mu      sync.Mutex
-	process *process
-	boot    int
-	ended   bool
+	mu          sync.Mutex
+	process     *process
+	incarnation int
+	isShutDown  bool
 }
 
-// process is one start of a host.
+// process is one incarnation of a host.
 type process struct {
 	cmd *exec.Cmd
-	// exited is closed once it is gone, and ending set once it was asked to end; the host's mu
-	// guards ending.
+	// exited is closed once the process has exited. ending is set once SIGTERM or SIGKILL
+	// was sent; the host's mu guards it.
 	exited chan struct{}
 	ending bool
 }
@@ -57,35 +58,36 @@
   "stop": {"grace": "%[6]s"},
   "move": {"share": %[11]g, "slack": %[12]d, "roll_back": "%[13]s"},
   "quota": {"window": "%[8]s", "over": %[9]g, "slack": %[10]d},
-}`, h.id, h.zone, h.ip, h.store.address(), seeds, grace, h.cores, quotaWindow, quotaOver, quotaSlack, exposeShare, exposeSlack, exposeAfter)
+}`, h.id, h.zone, h.ip, h.store.address(), seeds, grace, h.cores, quotaWindow, quotaOver, quotaSlack, exposeShare, exposeSlack, rollBackTime)
 }
 
 func (h *host) caller() string    { return h.ip + ":18000" }
 func (h *host) directory() string { return h.ip + ":18002" }
 
-// start starts the process unless it runs, or has been ended for good. One that was asked to
-// end is waited for: a start in that moment must not be lost, as nobody may ask again.
+// start starts the process unless it runs or the host has been shut down. If a process is
+// still terminating, start waits for its exit: the request to start must not be lost, as
+// it may not be repeated.
 func (h *host) start() error {
 	for {
-		old, err := h.startFirst()
+		old, err := h.tryStart()
 		if old == nil || err != nil {
 			return err
 		}
 		select {
 		case <-old.exited:
 		case <-time.After(grace + exitSlack):
-			return fmt.Errorf("process %d was asked to end and is still there: %s", old.cmd.Process.Pid, old.state())
+			return fmt.Errorf("process %d was signalled to end and has not exited: %s", old.cmd.Process.Pid, old.state())
 		}
 	}
 }
 
-// startFirst starts the process where there is none, and returns the one that has to be gone
-// before.
-func (h *host) startFirst() (*process, error) {
+// tryStart starts the process if none exists. It returns a process that is terminating and
+// has to exit first.
+func (h *host) tryStart() (*process, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	switch {
-	case h.ended:
+	case h.isShutDown:
 		return nil, nil
 	case h.process != nil && h.process.ending:
 		return h.process, nil
@@ -102,17 +104,17 @@
 	if err := cmd.Start(); err != nil {
 		return nil, err
 	}
-	h.boot++
-	h.note("start %d, process %d", h.boot, cmd.Process.Pid)
+	h.incarnation++
+	h.note("start %d, process %d", h.incarnation, cmd.Process.Pid)
 	p := &process{cmd: cmd, exited: make(chan struct{})}
 	h.process = p
 	go h.reap(p)
 	return nil, nil
 }
 
-// reap waits for the process's end.
+// reap waits until the process has exited.
 func (h *host) reap(p *process) {
-	// An error is how the process ended; callers and the log show why.
+	// The error is the exit status, which the next line logs.
 	_ = p.cmd.Wait()
 	h.note("process %d is gone: %v", p.cmd.Process.Pid, p.cmd.ProcessState)
 	h.mu.Lock()
@@ -121,8 +123,8 @@
 	close(p.exited)
 }
 
-// state returns what the kernel says of the process: that it sleeps, is stopped, waits for a
-// disk, or is gone but not reaped.
+// state returns the kernel's status line of the process, which shows whether it sleeps, is
+// stopped, waits for a disk, or is a zombie.
 func (p *process) state() string {
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.cmd.Process.Pid))
 	if err != nil {
@@ -131,12 +133,12 @@
 	return strings.TrimSpace(string(stat))
 }
 
-// note writes a line about the process to the host's log, among its own lines: what became
-// of a host that does not come back shows nowhere else. The lines are for reading alone.
+// note writes a line about the process into the host's own log. It is the only record of
+// what happened to a host that does not come back. Nothing parses these lines.
 func (h *host) note(format string, args ...any) {
 	out, err := os.OpenFile(h.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if errors.Is(err, os.ErrNotExist) {
-		// The logs of a seed that passed are deleted before its hosts are ended.
+		// The logs of a seed that passed are deleted before its hosts are shut down.
 		return
 	}
 	if err != nil {
@@ -147,13 +149,14 @@
 	fmt.Fprintf(out, "soak %s %s\n", time.Now().Format("15:04:05.000"), fmt.Sprintf(format, args...))
 }
 
-// signal signals the process if it runs; it reports whether it does.
+// signal sends a signal to the process, and reports whether it was sent.
 func (h *host) signal(s syscall.Signal) bool {
 	_, sent := h.send(s)
 	return sent
 }
 
-// send is signal that also returns the process.
+// send sends a signal to the process, if it runs. It returns the process and whether the
+// signal was sent.
 func (h *host) send(s syscall.Signal) (*process, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -167,14 +170,14 @@
 	return p, err == nil
 }
 
-// terminate asks the process to stop and waits for that very process to be gone; it
-// reports whether it is.
+// terminate sends SIGTERM, waits for that very process to exit, and reports whether it did;
+// true also if no process runs.
 func (h *host) terminate(limit time.Duration) bool {
 	p, asked := h.send(syscall.SIGTERM)
 	return !asked || h.wait(p, limit)
 }
 
-// wait waits for a process to be gone, and reports whether it is.
+// wait waits for a process to exit, and reports whether it did within the limit.
 func (h *host) wait(p *process, limit time.Duration) bool {
 	select {
 	case <-p.exited:
@@ -185,29 +188,30 @@
 	}
 }
 
-// kill ends the process at once, paused or not, and waits for that very process to be gone.
+// kill sends SIGKILL, which also ends a paused process, and waits for that very process to
+// exit.
 func (h *host) kill() {
 	if p, _ := h.send(syscall.SIGKILL); p != nil {
 		h.wait(p, grace)
 	}
 }
 
-// end kills the process for good.
-func (h *host) end() {
+// shutDown kills the process and prevents further starts.
+func (h *host) shutDown() {
 	h.mu.Lock()
-	h.ended = true
+	h.isShutDown = true
 	h.mu.Unlock()
 	h.kill()
 }
 
-// currentBoot counts the starts so far.
-func (h *host) currentBoot() int {
+// currentIncarnation returns the number of starts so far.
+func (h *host) currentIncarnation() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.boot
+	return h.incarnation
 }
 
-// ready asks the host's readiness.
+// ready reports whether the host's readiness endpoint answers 200.
 func (h *host) ready() bool {
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	resp, err := client.Get("http://" + h.ip + ":18001/-/readyz")
--- a/test/soak/host_test.go
+++ b/test/soak/host_test.go
@@ -19,7 +19,7 @@
 		t.Fatal(err)
 	}
 	h := &host{id: "entry-0", binary: binary, log: filepath.Join(dir, "log")}
-	t.Cleanup(h.end)
+	t.Cleanup(h.shutDown)
 	if err := h.start(); err != nil {
 		t.Fatal(err)
 	}
@@ -33,24 +33,25 @@
 	return nil
 }
 
-// TestNoStartIsLost: a host whose process still counted as a fault wanted to start it again
-// stayed away for the rest of the run, without a word.
+// TestNoStartIsLost: if a fault started a host while its old process was still terminating,
+// the start was silently dropped and the host stayed down for the rest of the run.
 func TestNoStartIsLost(t *testing.T) {
 	h := stub(t)
 	h.signal(syscall.SIGTERM)
-	if err := h.start(); err != nil || h.currentBoot() != 2 || !h.signal(syscall.Signal(0)) {
-		t.Errorf("%d starts, %v; want a second one once the first process is gone", h.currentBoot(), err)
+	if err := h.start(); err != nil || h.currentIncarnation() != 2 || !h.signal(syscall.Signal(0)) {
+		t.Errorf("%d starts, %v; want a second one once the first process is gone", h.currentIncarnation(), err)
 	}
 }
 
-// TestRunningHostIsNotStartedAgain: faults that overlap start a host more than once.
+// TestRunningHostIsNotStartedAgain: overlapping faults may start a host more than once, and
+// only the first start may take effect; none may once the host is shut down.
 func TestRunningHostIsNotStartedAgain(t *testing.T) {
 	h := stub(t)
-	if err := h.start(); err != nil || h.currentBoot() != 1 {
-		t.Errorf("%d starts, %v", h.currentBoot(), err)
+	if err := h.start(); err != nil || h.currentIncarnation() != 1 {
+		t.Errorf("%d starts, %v", h.currentIncarnation(), err)
 	}
-	h.end()
-	if err := h.start(); err != nil || h.currentBoot() != 1 {
-		t.Errorf("%d starts of a host that was ended for good, %v", h.currentBoot(), err)
+	h.shutDown()
+	if err := h.start(); err != nil || h.currentIncarnation() != 1 {
+		t.Errorf("%d starts of a host that was ended for good, %v", h.currentIncarnation(), err)
 	}
 }
--- a/test/soak/load.go
+++ b/test/soak/load.go
@@ -13,7 +13,7 @@
 	"github.com/briarlink/briarlink/test/standin/caller"
 )
 
-// kind is a kind of request, with its route.
+// kind is a kind of request, with the properties of its route.
 type kind struct {
 	name      string
 	method    string
@@ -23,8 +23,8 @@
 	attempts  int
 }
 
-// once reports whether a request of the kind may run at most once.
-func (k *kind) once() bool { return k.routeType != "safe" && !k.resumable }
+// atMostOnce reports whether a request of the kind may run at most once.
+func (k *kind) atMostOnce() bool { return k.routeType != "safe" && !k.resumable }
 
 func (k *kind) stream() bool { return k.routeType == "streaming" }
 
@@ -43,27 +43,27 @@
 }
 
 const (
-	callers = 10
-	// deadline is the callers', and each route's.
+	callerCount = 10
+	// deadline is the deadline of callers and of every route.
 	deadline = 3 * time.Second
-	// lateSlack is how long after it a host's last word may come.
-	lateSlack = 700 * time.Millisecond
-	// pause is a caller's mean pause between two requests.
-	pause = 25 * time.Millisecond
-	// pressLimit bounds a caller's requests, whatever the time.
-	pressLimit = 5000
+	// deadlineSlack is how long after the deadline a host may take to end its answer.
+	deadlineSlack = 700 * time.Millisecond
+	// meanPause is a caller's mean pause between two requests.
+	meanPause = 25 * time.Millisecond
+	// maxRequests limits the number of requests of a caller.
+	maxRequests = 5000
 )
 
-// sent is a request and what became of it.
-type sent struct {
+// request is a request that a caller sent, and its outcome.
+type request struct {
 	id   string
 	kind *kind
 	key  string
 	body string
-	// host is known only of callers that keep to one.
-	host *host
-	boot int
-	// poison requests crash each server that runs them.
+	// host is set only for callers that always use the same host.
+	host        *host
+	incarnation int
+	// poison marks a request that crashes each server that runs it.
 	poison bool
 	from   time.Time
 	to     time.Time
@@ -71,41 +71,43 @@
 	err    error
 }
 
-// press sends requests until ctx ends. Every other caller keeps to one host, whether
-// callers are sent there or not, and uses its connections until the process is gone.
-func (w *world) press(ctx context.Context, n int, rng *rand.Rand) {
-	c := w.newCaller(w.hosts)
-	for range pressLimit {
+// generateLoad sends requests as caller n until ctx ends. Every other caller always uses
+// the same host, whether the directory names it or not, and keeps its connections until
+// the process exits.
+func (fx *fixture) generateLoad(ctx context.Context, n int, rng *rand.Rand) {
+	c := fx.newCaller(fx.hosts)
+	for range maxRequests {
 		if ctx.Err() != nil {
 			return
 		}
-		s := &sent{kind: kinds[rng.IntN(len(kinds))], key: w.pickKey(rng)}
+		s := &request{kind: kinds[rng.IntN(len(kinds))], key: fx.pickKey(rng)}
 		if n%2 == 0 {
-			s.host = w.hosts[n/2*max(1, 2*w.size.hosts/callers)%w.size.hosts]
+			s.host = fx.hosts[n/2*max(1, 2*fx.size.hosts/callerCount)%fx.size.hosts]
 		}
-		w.send(context.WithoutCancel(ctx), c, s, rng)
+		fx.send(context.WithoutCancel(ctx), c, s, rng)
 		select {
 		case <-ctx.Done():
-		case <-time.After(time.Duration(rng.Int64N(int64(2 * pause)))):
+		case <-time.After(time.Duration(rng.Int64N(int64(2 * meanPause)))):
 		}
 	}
 }
 
-func (w *world) newCaller(of []*host) *caller.Caller {
+func (fx *fixture) newCaller(hosts []*host) *caller.Caller {
 	c := &caller.Caller{HostName: hostName, Zone: "zone-0"}
-	for _, h := range of {
+	for _, h := range hosts {
 		c.Directories = append(c.Directories, h.directory())
 	}
 	c.KeepConnections()
 	return c
 }
 
-// pickKey mostly takes a key that always holds, now and then one that changes.
-func (w *world) pickKey(rng *rand.Rand) string {
+// pickKey returns an API key: mostly one that is always in force, sometimes one that is
+// granted and revoked.
+func (fx *fixture) pickKey(rng *rand.Rand) string {
 	if rng.IntN(5) == 0 {
 		return limitedKey
 	}
-	granted, revoked := w.config.spare()
+	granted, revoked := fx.operator.spareKeys()
 	if rng.IntN(4) == 0 {
 		for key := range granted {
 			return key
@@ -122,7 +124,7 @@
 	return "key-of-museum-b"
 }
 
-func (w *world) send(ctx context.Context, c *caller.Caller, s *sent, rng *rand.Rand) {
+func (fx *fixture) send(ctx context.Context, c *caller.Caller, s *request, rng *rand.Rand) {
 	s.id = uuid.NewString()
 	r := caller.Request{ID: s.id, Method: s.kind.method, Path: fmt.Sprintf("/%s/%d", s.kind.name, rng.IntN(9)), Deadline: deadline}
 	switch {
@@ -136,20 +138,20 @@
 		r.Model, r.Tokens, r.Prefix = model, "900,32", fmt.Sprintf("a%d:800,own%s:100", rng.IntN(6), s.id[:8])
 	}
 	c.Key = s.key
-	ctx, cancel := context.WithTimeout(ctx, deadline+lateSlack)
+	ctx, cancel := context.WithTimeout(ctx, deadline+deadlineSlack)
 	defer cancel()
 	s.from = time.Now()
 	if s.host != nil {
-		s.boot = s.host.currentBoot()
+		s.incarnation = s.host.currentIncarnation()
 		s.answer, s.err = c.SendTo(ctx, s.host.caller(), r)
 	} else {
 		s.answer, s.err = c.Send(ctx, r)
 	}
 	s.to = time.Now()
-	if s.host != nil && s.host.currentBoot() != s.boot {
-		// Which of the two starts answered is not known.
-		s.boot = 0
+	if s.host != nil && s.host.currentIncarnation() != s.incarnation {
+		// Either incarnation may have answered.
+		s.incarnation = 0
 	}
-	w.seen.add(s)
-	w.judge(s)
+	fx.observed.add(s)
+	fx.check(s)
 }
--- a/test/soak/main.go
+++ b/test/soak/main.go
@@ -1,7 +1,7 @@
-// Command soak runs entry hosts as processes of their own, harms them and what
-// they meet by a seeded series of faults, and checks from outside, at callers and
-// backend servers, that every promise holds. Signals, cuts and changes overlap;
-// the time of day is not changed, as hosts use it for log lines only.
+// Command soak runs entry hosts as separate processes, injects a seeded series of
+// faults into them and their environment, and checks every guarantee from outside, at
+// callers and backend servers. Signals, network faults and changes of configuration
+// overlap. The wall clock is not changed, as hosts use it for log lines only.
 package main
 
 import (
@@ -22,34 +22,34 @@
 )
 
 type cli struct {
-	Binary string        `default:"bin/briarlink" help:"The product's binary."`
-	First  uint64        `default:"1" help:"First seed."`
-	Seeds  uint64        `default:"1" help:"Number of seeds, one after the other from the first."`
-	Seed   []uint64      `help:"These seeds instead."`
-	Length time.Duration `default:"8s" help:"How long a seed's faults come."`
-	Jobs   int           `default:"4" help:"Seeds at once."`
-	Keep   string        `default:"" help:"Directory for the logs of seeds that failed; a temporary one if empty."`
-
-	mu     sync.Mutex
-	worlds []*world
+	Binary string        `default:"bin/briarlink" help:"Binary under test."`
+	First  uint64        `default:"1" help:"First seed to run."`
+	Seeds  uint64        `default:"1" help:"Number of consecutive seeds to run."`
+	Seed   []uint64      `help:"Seeds to run instead of --first and --seeds."`
+	Length time.Duration `default:"8s" help:"Time during which faults of a seed start."`
+	Jobs   int           `default:"4" help:"Number of seeds to run in parallel."`
+	Keep   string        `default:"" help:"Directory for the logs of failed seeds; the system's temporary directory if empty."`
+
+	mu       sync.Mutex
+	fixtures []*fixture
 }
 
 const (
-	// settle is how long all may take to serve once every fault is over.
-	settle = 8 * time.Second
-	// settlePoll is the pause between two looks.
-	settlePoll = 100 * time.Millisecond
+	// settleTimeout is how long recovery may take once every fault is over.
+	settleTimeout = 8 * time.Second
+	// settlePollInterval is the pause between two checks for recovery.
+	settlePollInterval = 100 * time.Millisecond
 )
 
-// result is what became of one seed.
+// result is the outcome of one seed.
 type result struct {
 	seed     uint64
 	requests int
 	served   int
-	// move is how an order to move to another version ended, or "".
-	move   string
-	broken []string
-	err    error
+	// canary describes how the canary release of the seed ended; "" if it has none.
+	canary     string
+	violations []string
+	err        error
 }
 
 // Run implements the command.
@@ -60,37 +60,37 @@
 	}
 	ctx, cancel := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM, syscall.SIGHUP)
 	defer cancel()
-	// Who ends the run does not leave its processes behind.
+	// An interrupted run leaves no processes behind.
 	defer context.AfterFunc(ctx, func() {
 		c.stop()
 		os.Exit(1)
 	})()
 	results := make(chan result, len(seeds))
-	go c.playAll(seeds, results)
+	go c.runSeeds(seeds, results)
 	return report(results)
 }
 
-func (c *cli) playAll(seeds []uint64, results chan<- result) {
+func (c *cli) runSeeds(seeds []uint64, results chan<- result) {
 	defer close(results)
-	free := make(chan bool, c.Jobs)
+	slots := make(chan bool, c.Jobs)
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	for _, seed := range seeds {
-		free <- true
+		slots <- true
 		wg.Go(func() {
-			results <- c.play(seed)
-			<-free
+			results <- c.runSeed(seed)
+			<-slots
 		})
 	}
 }
 
-// stop ends every process of every seed, for good.
+// stop kills the processes of all seeds and prevents further starts.
 func (c *cli) stop() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, w := range c.worlds {
-		for _, h := range w.hosts {
-			h.end()
+	for _, fx := range c.fixtures {
+		for _, h := range fx.hosts {
+			h.shutDown()
 		}
 	}
 }
@@ -98,14 +98,14 @@
 func report(results <-chan result) error {
 	failed := 0
 	for r := range results {
-		fmt.Printf("seed %d: %d requests, %d served, %d broken%s\n", r.seed, r.requests, r.served, len(r.broken), r.move)
-		for _, line := range r.broken {
+		fmt.Printf("seed %d: %d requests, %d served, %d broken%s\n", r.seed, r.requests, r.served, len(r.violations), r.canary)
+		for _, line := range r.violations {
 			fmt.Println("  " + line)
 		}
 		if r.err != nil {
-			fmt.Println("  not played:", r.err)
+			fmt.Println("  not run:", r.err)
 		}
-		if r.err != nil || len(r.broken) > 0 {
+		if r.err != nil || len(r.violations) > 0 {
 			failed++
 		}
 	}
@@ -116,130 +116,131 @@
 	return nil
 }
 
-// play plays one seed; the logs of a seed that failed stay.
-func (c *cli) play(seed uint64) result {
+// runSeed runs one seed and keeps its logs only if it fails.
+func (c *cli) runSeed(seed uint64) result {
 	dir, err := os.MkdirTemp(c.Keep, fmt.Sprintf("seed-%d-", seed))
 	if err != nil {
 		return result{seed: seed, err: err}
 	}
-	w, err := newWorld(c.Binary, dir, sizeOf(seed))
+	fx, err := newFixture(c.Binary, dir, sizeOf(seed))
 	if err != nil {
 		return result{seed: seed, err: err}
 	}
-	defer w.stop()
-	w.late = hasNotices(seed)
+	defer fx.stop()
+	fx.delayLeaving = hasNotices(seed)
 	c.mu.Lock()
-	c.worlds = append(c.worlds, w)
+	c.fixtures = append(c.fixtures, fx)
 	c.mu.Unlock()
-	if err := w.startHosts(); err != nil {
+	if err := fx.startHosts(); err != nil {
 		return result{seed: seed, err: err}
 	}
-	r := w.play(seed, c.Length)
-	if len(r.broken) == 0 && r.err == nil {
+	r := fx.runSeed(seed, c.Length)
+	if len(r.violations) == 0 && r.err == nil {
 		r.err = os.RemoveAll(dir)
 	} else {
-		r.broken = append(r.broken, "logs are in "+dir)
+		r.violations = append(r.violations, "logs are in "+dir)
 	}
 	return r
 }
 
-func (w *world) play(seed uint64, length time.Duration) result {
-	series := seriesOf(seed, w.size, length)
-	journal, err := os.Create(filepath.Join(w.dir, "faults.log"))
+func (fx *fixture) runSeed(seed uint64, length time.Duration) result {
+	series := seriesOf(seed, fx.size, length)
+	faultLog, err := os.Create(filepath.Join(fx.dir, "faults.log"))
 	if err != nil {
 		return result{seed: seed, err: err}
 	}
-	defer journal.Close()
-	beats, stopBeats := context.WithCancel(context.Background())
-	defer stopBeats()
-	go w.heartbeats(beats)
-	w.calm()
-	pressing, stopPress := context.WithCancel(context.Background())
-	var callersDone sync.WaitGroup
-	for n := range callers {
-		own := rand.New(rand.NewPCG(seed, uint64(n+1)))
-		callersDone.Go(func() { w.press(pressing, n, own) })
+	defer faultLog.Close()
+	heartbeatCtx, stopHeartbeats := context.WithCancel(context.Background())
+	defer stopHeartbeats()
+	go fx.heartbeats(heartbeatCtx)
+	fx.waitReady()
+	loadCtx, stopLoad := context.WithCancel(context.Background())
+	var callerGroup sync.WaitGroup
+	for n := range callerCount {
+		rng := rand.New(rand.NewPCG(seed, uint64(n+1)))
+		callerGroup.Go(func() { fx.generateLoad(loadCtx, n, rng) })
 	}
 	if hasPoison(seed) {
-		own := rand.New(rand.NewPCG(seed, poisonSeeds))
-		callersDone.Go(func() { w.pressPoison(pressing, own) })
+		rng := rand.New(rand.NewPCG(seed, poisonSeeds))
+		callerGroup.Go(func() { fx.generatePoison(loadCtx, rng) })
 	}
-	w.harm(context.Background(), series, func(name string) {
-		fmt.Fprintln(journal, time.Now().Format("15:04:05.000"), name)
+	fx.runFaults(context.Background(), series, func(name string) {
+		fmt.Fprintln(faultLog, time.Now().Format("15:04:05.000"), name)
 	})
-	w.calm()
-	w.recovered(w.hosts)
-	if seed >= sizedSeeds {
-		w.replaced()
-	}
-	stopPress()
-	callersDone.Wait()
-	w.judgeAll()
-	return w.result(seed)
+	fx.waitReady()
+	fx.checkRecovery(fx.hosts)
+	if seed >= mixedSeeds {
+		fx.checkFailover()
+	}
+	stopLoad()
+	callerGroup.Wait()
+	fx.checkAll()
+	return fx.result(seed)
 }
 
-// calm waits until every host is ready.
-func (w *world) calm() {
-	for until := time.Now().Add(settle); time.Now().Before(until); time.Sleep(settlePoll) {
+// waitReady waits until every host is ready.
+func (fx *fixture) waitReady() {
+	for until := time.Now().Add(settleTimeout); time.Now().Before(until); time.Sleep(settlePollInterval) {
 		ready := 0
-		for _, h := range w.hosts {
+		for _, h := range fx.hosts {
 			if h.ready() {
 				ready++
 			}
 		}
-		if ready == len(w.hosts) {
+		if ready == len(fx.hosts) {
 			return
 		}
 	}
-	w.seen.fail("not every host is ready after %v", settle)
+	fx.observed.fail("not every host is ready after %v", settleTimeout)
 }
 
-// recovered checks that, once every fault is over, each of these hosts serves every
-// kind of request and every engine has the weights wanted last.
-func (w *world) recovered(hosts []*host) {
+// checkRecovery checks, after the last fault, that each of these hosts serves every kind
+// of request and that every engine loads the latest wanted weights.
+func (fx *fixture) checkRecovery(hosts []*host) {
 	began := time.Now()
 	var wg sync.WaitGroup
 	for _, h := range hosts {
 		wg.Go(func() {
 			for _, k := range kinds {
-				if !w.serves(h, k, began.Add(settle)) {
-					w.seen.fail("%s serves no %s %v after the last fault", h.id, k.name, settle)
+				if !fx.serves(h, k, began.Add(settleTimeout)) {
+					fx.observed.fail("%s serves no %s %v after the last fault", h.id, k.name, settleTimeout)
 				}
 			}
 		})
 	}
 	wg.Wait()
-	for _, s := range w.servers[:w.size.writers] {
-		for s.current().Version() < w.config.wanted() && time.Since(began) < 2*settle {
-			time.Sleep(settlePoll)
+	for _, s := range fx.servers[:fx.size.writers] {
+		for s.current().Version() < fx.operator.wantedWeights() && time.Since(began) < 2*settleTimeout {
+			time.Sleep(settlePollInterval)
 		}
-		if got := s.current().Version(); got < w.config.wanted() {
-			w.seen.fail("%s has weights %d, wanted %d, %v after the last fault", s.current().ID, got, w.config.wanted(), 2*settle)
+		if got := s.current().Version(); got < fx.operator.wantedWeights() {
+			fx.observed.fail("%s has weights %d, wanted %d, %v after the last fault", s.current().ID, got, fx.operator.wantedWeights(), 2*settleTimeout)
 		}
 	}
 }
 
-func (w *world) serves(h *host, k *kind, until time.Time) bool {
+// serves reports whether a host completes a request of the kind before the time limit.
+func (fx *fixture) serves(h *host, k *kind, until time.Time) bool {
 	rng := rand.New(rand.NewPCG(0, 0))
 	for time.Now().Before(until) {
-		s := &sent{kind: k, key: "key-of-museum-a", host: h}
-		w.send(context.Background(), &caller.Caller{HostName: hostName}, s, rng)
+		s := &request{kind: k, key: "key-of-museum-a", host: h}
+		fx.send(context.Background(), &caller.Caller{HostName: hostName}, s, rng)
 		if s.err == nil && s.answer.Status == http.StatusOK && s.answer.Whole {
 			return true
 		}
-		time.Sleep(settlePoll)
+		time.Sleep(settlePollInterval)
 	}
 	return false
 }
 
-func (w *world) result(seed uint64) result {
-	w.seen.mu.Lock()
-	defer w.seen.mu.Unlock()
-	r := result{seed: seed, requests: len(w.seen.requests), broken: w.seen.broken}
-	if m := w.move; m != nil {
-		r.move = fmt.Sprintf("; move, bad %v: %q after %v", m.bad, m.state, m.ended.Sub(m.ordered).Round(settlePoll))
+func (fx *fixture) result(seed uint64) result {
+	fx.observed.mu.Lock()
+	defer fx.observed.mu.Unlock()
+	r := result{seed: seed, requests: len(fx.observed.requests), violations: fx.observed.violations}
+	if c := fx.canary; c != nil {
+		r.canary = fmt.Sprintf("; move, bad %v: %q after %v", c.bad, c.state, c.ended.Sub(c.ordered).Round(settlePollInterval))
 	}
-	for _, s := range w.seen.requests {
+	for _, s := range fx.observed.requests {
 		if s.err == nil && s.answer.Status == http.StatusOK && s.answer.Whole {
 			r.served++
 		}
--- a/test/soak/moves.go
+++ b/test/soak/moves.go
@@ -12,80 +12,83 @@
 )
 
 const (
-	// moveSeeds is the first of the seeds, below and above fleetSeeds, in which operators
-	// order that the plain service be moved to another version; of those with odd numbers
-	// all answers are failures.
-	moveSeeds = 8000
-	// moveTime is the time of the order, and moveLate how much later it may be done.
-	moveTime = 6 * time.Second
-	moveLate = 500 * time.Millisecond
-	// Of all requests for the service exposeShare, and exposeSlack besides, may reach a bad
-	// version; none exposeAfter after the exposeBad-th bad answer.
-	exposeShare = 0.1
-	exposeSlack = 50
-	exposeBad   = 50
-	exposeAfter = 5 * time.Second
-	// newVersion is the target, and newServers begins the IDs of its servers.
+	// canarySeeds is the first of the seeds, below and above fleetSeeds, in which operators
+	// order a canary release of the plain service. In odd seeds the new version is bad:
+	// all its answers are failures.
+	canarySeeds = 8000
+	// canaryTime is the duration that the order gives to the release, and canarySlack how
+	// much later the release may complete.
+	canaryTime  = 6 * time.Second
+	canarySlack = 500 * time.Millisecond
+	// At most the share exposeShare of all requests for the service, plus exposeSlack
+	// requests, may reach a bad version, and none later than rollBackTime after the
+	// request number exposeBad.
+	exposeShare  = 0.1
+	exposeSlack  = 50
+	exposeBad    = 50
+	rollBackTime = 5 * time.Second
+	// newVersion is the target version, and newServers the prefix of its servers' IDs.
 	newVersion = "v2"
 	newServers = "new-"
 )
 
-func hasMoves(seed uint64) bool { return seed%fleetSeeds >= moveSeeds }
+func hasCanary(seed uint64) bool { return seed%fleetSeeds >= canarySeeds }
 
-func isBadMove(seed uint64) bool { return seed%2 == 1 }
+func isBadCanary(seed uint64) bool { return seed%2 == 1 }
 
-// move is the order of a seed, as operators see it.
-type move struct {
+// canary is the canary release of a seed, as operators see it.
+type canary struct {
 	bad     bool
 	ordered time.Time
-	// ended is when the store took the state, and state which one; "" if it never did.
+	// state is the final state of the order in the store, "" if there is none, and ended
+	// is when it was last looked up.
 	ended time.Time
 	state string
 }
 
-// withMove adds the order.
-func withMove(series []fault, bad bool) []fault {
-	f := fault{at: meanGap, name: fmt.Sprintf("order to move to a version, bad: %v", bad), planned: true, do: func(w *world) { w.moveJobs(bad) }}
+// withCanary adds the order of a canary release.
+func withCanary(series []fault, bad bool) []fault {
+	f := fault{at: meanGap, name: fmt.Sprintf("order to move to a version, bad: %v", bad), planned: true, do: func(fx *fixture) { fx.releaseCanary(bad) }}
 	return slices.Insert(series, 0, f)
 }
 
-// moveJobs starts servers with the new version, orders the move and waits for its end. The
-// servers of the version that lost are gone at once where it is the old one, and drain for a
-// while where it is the new one.
-func (w *world) moveJobs(bad bool) {
-	for i, s := range w.spares {
+// releaseCanary starts the servers of the new version, orders the release and waits for its
+// end. Then it removes the servers of the version that is not kept: old ones at once, new
+// ones after drainTime.
+func (fx *fixture) releaseCanary(bad bool) {
+	for i, s := range fx.spares {
 		s.mu.Lock()
-		w.startAs(s, fmt.Sprint(newServers, i))
+		fx.startWithID(s, fmt.Sprint(newServers, i))
 		s.engine.Software, s.engine.Failing = newVersion, bad
 		s.mu.Unlock()
 		s.front.set(pass)
 		s.idle.Store(false)
 	}
 	time.Sleep(2 * heartbeat)
-	w.move = &move{bad: bad, ordered: time.Now()}
-	order := fmt.Appendf(nil, `{"Service":"jobs","Target":%q,"DurationS":%g}`, newVersion, moveTime.Seconds())
-	w.store.Put(platform.OperatorTopic, "rollout/jobs", order)
-	for w.move.state == "" && time.Since(w.move.ordered) < moveTime+settle {
-		time.Sleep(holdPoll)
-		w.move.state, w.move.ended = w.moveState(), time.Now()
+	fx.canary = &canary{bad: bad, ordered: time.Now()}
+	order := fmt.Appendf(nil, `{"Service":"jobs","Target":%q,"DurationS":%g}`, newVersion, canaryTime.Seconds())
+	fx.store.Put(platform.OperatorTopic, "rollout/jobs", order)
+	for fx.canary.state == "" && time.Since(fx.canary.ordered) < canaryTime+settleTimeout {
+		time.Sleep(pollInterval)
+		fx.canary.state, fx.canary.ended = fx.canaryState(), time.Now()
 	}
-	gone := w.servers[w.size.writers:]
-	if w.move.state != "done" {
+	retired := fx.servers[fx.size.writers:]
+	if fx.canary.state != "done" {
 		time.Sleep(drainTime)
-		gone = w.spares
+		retired = fx.spares
 	}
-	for _, s := range gone {
+	for _, s := range retired {
 		s.idle.Store(true)
-		s.front.set(refuse)
-		w.store.Put(platform.ReplicaTopic, s.current().ID, nil)
+		s.front.set(reset)
+		fx.store.Put(platform.ReplicaTopic, s.current().ID, nil)
 	}
 }
 
-// moveState returns the state of the order once it is decided, or "".
-func (w *world) moveState() string {
-	page, err := platform.NewStore(w.backend, time.Second).Newest(context.Background(), platform.StatusTopic)
+// canaryState returns the final state of the order, or "" while it is undecided.
+func (fx *fixture) canaryState() string {
+	page, err := platform.NewStore(fx.backend, time.Second).Newest(context.Background(), platform.StatusTopic)
 	if err != nil {
-		// Nothing is written yet, or the store is down: looked at again soon.
+		// Nothing is written yet or the store is down; the caller tries again.
 		return ""
 	}
 	for _, rec := range page.Records {
@@ -97,50 +100,51 @@
 	return ""
 }
 
-// judgeMove checks what the versions got. What a bad one gets is bounded whatever is done to
-// the hosts; that a good one is moved to in time only where nothing but planned work was.
-func (w *world) judgeMove() {
-	m := w.move
-	if m == nil {
+// checkCanary checks which requests reached the new version. The limits for a bad version
+// hold under any fault; a good version must be released in time only if all disturbances
+// were planned.
+func (fx *fixture) checkCanary() {
+	c := fx.canary
+	if c == nil {
 		return
 	}
-	var fresh, all []time.Time
-	w.seen.mu.Lock()
-	for _, runs := range w.seen.runs {
+	var newRuns, allRuns []time.Time
+	fx.observed.mu.Lock()
+	for _, runs := range fx.observed.runs {
 		for _, r := range runs {
-			if r.at.Before(m.ordered) || r.at.After(m.ordered.Add(moveTime)) || !w.isJob(r.server) {
+			if r.at.Before(c.ordered) || r.at.After(c.ordered.Add(canaryTime)) || !fx.isJob(r.server) {
 				continue
 			}
-			all = append(all, r.at)
+			allRuns = append(allRuns, r.at)
 			if strings.HasPrefix(r.server, newServers) {
-				fresh = append(fresh, r.at)
+				newRuns = append(newRuns, r.at)
 			}
 		}
 	}
-	w.seen.mu.Unlock()
-	slices.SortFunc(fresh, time.Time.Compare)
-	unplanned := w.faults.any(m.ordered, m.ended, func(d *disturbance) bool { return !d.planned })
+	fx.observed.mu.Unlock()
+	slices.SortFunc(newRuns, time.Time.Compare)
+	unplanned := fx.faults.any(c.ordered, c.ended, func(d *disturbance) bool { return !d.planned })
 	switch {
-	case m.bad && m.state == "done":
-		w.seen.fail("a bad version was moved to")
-	case m.bad:
-		if most := int(exposeShare*float64(len(all))) + exposeSlack; len(fresh) > most {
-			w.seen.fail("%d of %d requests reached the bad version", len(fresh), len(all))
+	case c.bad && c.state == "done":
+		fx.observed.fail("a bad version was released")
+	case c.bad:
+		if maxExposed := int(exposeShare*float64(len(allRuns))) + exposeSlack; len(newRuns) > maxExposed {
+			fx.observed.fail("%d of %d requests reached the bad version", len(newRuns), len(allRuns))
 		}
-		if len(fresh) >= exposeBad && fresh[len(fresh)-1].Sub(fresh[exposeBad-1]) > exposeAfter {
-			w.seen.fail("a request reached the bad version %v after its %d. bad answer", fresh[len(fresh)-1].Sub(fresh[exposeBad-1]), exposeBad)
+		if len(newRuns) >= exposeBad && newRuns[len(newRuns)-1].Sub(newRuns[exposeBad-1]) > rollBackTime {
+			fx.observed.fail("a request reached the bad version %v after its %d. bad answer", newRuns[len(newRuns)-1].Sub(newRuns[exposeBad-1]), exposeBad)
 		}
-	case !unplanned && (m.state != "done" || m.ended.Sub(m.ordered) > moveTime+moveLate):
-		w.seen.fail("a good version: %q after %v", m.state, m.ended.Sub(m.ordered))
+	case !unplanned && (c.state != "done" || c.ended.Sub(c.ordered) > canaryTime+canarySlack):
+		fx.observed.fail("a good version: %q after %v", c.state, c.ended.Sub(c.ordered))
 	}
 }
 
-// isJob reports whether a server is one of the plain service, by its ID.
-func (w *world) isJob(id string) bool {
+// isJob reports whether a server ID belongs to the plain service.
+func (fx *fixture) isJob(id string) bool {
 	if strings.HasPrefix(id, newServers) {
 		return true
 	}
-	return slices.ContainsFunc(w.servers[w.size.writers:], func(s *server) bool {
+	return slices.ContainsFunc(fx.servers[fx.size.writers:], func(s *server) bool {
 		return strings.HasPrefix(id, idPrefix(s))
 	})
 }
--- a/test/soak/notices.go
+++ b/test/soak/notices.go
@@ -13,133 +13,134 @@
 
 const (
 	// noticeSeeds is the first of the seeds, below and above fleetSeeds, in which servers
-	// say in their answers that they leave, the store hearing of it later, and ask hosts
-	// to back off.
+	// send leave notices in their answers before the store shows that they leave, and ask
+	// hosts to back off.
 	noticeSeeds = 6000
-	// laterAtStore is how much later the store hears that a server leaves, at most.
-	laterAtStore = 5 * time.Second
-	// backoffMargin is how long after a server's refusal requests may be on their way to it, and
-	// backoffAllowed how many may come from then until the end of the backoff.
+	// maxLeavingDelay is the maximum delay until the store shows that a server leaves.
+	maxLeavingDelay = 5 * time.Second
+	// backoffMargin is how long after a rejection requests may still be in flight to the
+	// server, and backoffAllowed how many may arrive after that until the backoff ends.
 	backoffMargin  = 500 * time.Millisecond
 	backoffAllowed = 2
 )
 
 func hasNotices(seed uint64) bool { return seed%fleetSeeds >= noticeSeeds }
 
-// withNotices adds servers that turn requests away and ask hosts to back off.
+// withNotices adds servers that reject requests and ask hosts to back off.
 func withNotices(series []fault, rng *rand.Rand, s size, length time.Duration) []fault {
 	for at := time.Duration(0); at < length; at += time.Duration(rng.Int64N(int64(4 * meanGap))) {
-		j, for_ := rng.IntN(s.writers+s.jobs), time.Second+time.Duration(rng.Int64N(int64(longest)))
+		j, duration := rng.IntN(s.writers+s.jobs), time.Second+time.Duration(rng.Int64N(int64(maxDuration)))
 		series = append(series, fault{
-			at: at, name: fmt.Sprintf("server %d asks to back off for %v", j, for_), planned: true,
-			do: func(w *world) { w.servers[j].current().TurnAway(for_) },
+			at: at, name: fmt.Sprintf("server %d asks to back off for %v", j, duration), planned: true,
+			do: func(fx *fixture) { fx.servers[j].current().TurnAway(duration) },
 		})
 	}
 	slices.SortStableFunc(series, func(a, b fault) int { return int(a.at - b.at) })
 	return series
 }
 
-// way leads from a start of a host to a start of a server.
-type way struct {
-	host   *host
-	boot   int
-	server string
+// hop identifies the hop of a request from an incarnation of a host to a server.
+type hop struct {
+	host        *host
+	incarnation int
+	server      string
 }
 
-// refusal is a request that a server turned away, asking to back off until a time.
-type refusal struct {
+// rejection is a request that a server rejected, with a backoff that ends at until.
+type rejection struct {
 	id        string
 	server    string
 	at, until time.Time
 }
 
-// notices is what servers said, as callers and servers saw it. It is safe for concurrent use.
+// notices holds the leave notices and rejections of servers, as callers and servers
+// observed them. It is safe for concurrent use.
 type notices struct {
 	mu sync.Mutex
-	// left is when an answer that a caller got first said that its server leaves.
-	left     map[way]time.Time
-	refusals []refusal
+	// noticed is when a caller first received an answer with the server's leave notice.
+	noticed    map[hop]time.Time
+	rejections []rejection
 }
 
-func newNotices() *notices { return &notices{left: map[way]time.Time{}} }
+func newNotices() *notices { return &notices{noticed: map[hop]time.Time{}} }
 
-func (w *notices) refused(server, id string, left time.Duration) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (ns *notices) recordRejection(server, id string, backoff time.Duration) {
+	ns.mu.Lock()
+	defer ns.mu.Unlock()
 	now := time.Now()
-	w.refusals = append(w.refusals, refusal{id, server, now, now.Add(left)})
+	ns.rejections = append(ns.rejections, rejection{id, server, now, now.Add(backoff)})
 }
 
-// hear takes an answer that a host has passed on.
-func (w *notices) hear(s *sent, server string) {
-	if s.host == nil || s.boot == 0 || s.answer.Header.Get(wire.Leaving) == "" {
+// recordAnswer records the leave notice, if any, of an answer that a host has forwarded.
+func (ns *notices) recordAnswer(s *request, server string) {
+	if s.host == nil || s.incarnation == 0 || s.answer.Header.Get(wire.Leaving) == "" {
 		return
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	at := way{s.host, s.boot, server}
-	if _, known := w.left[at]; !known {
-		w.left[at] = s.to
+	ns.mu.Lock()
+	defer ns.mu.Unlock()
+	via := hop{s.host, s.incarnation, server}
+	if _, known := ns.noticed[via]; !known {
+		ns.noticed[via] = s.to
 	}
 }
 
-// judgeLeft: nothing that a caller sent drainTime after a host had passed on a server's
-// word reaches that server from that host, whether the host is in touch or not. Its
-// restart or a pause of it since then excuses it.
-func (w *world) judgeLeft(s *sent, r run) {
-	if s.host == nil || s.boot == 0 {
+// checkLeaving checks that a host sends a server no request that a caller sent more than
+// drainTime after the host had forwarded the server's leave notice. Only a restart or a
+// pause of that host since the notice excuses it.
+func (fx *fixture) checkLeaving(s *request, r run) {
+	if s.host == nil || s.incarnation == 0 {
 		return
 	}
-	w.said.mu.Lock()
-	left, known := w.said.left[way{s.host, s.boot, r.server}]
-	w.said.mu.Unlock()
-	if !known || s.from.Sub(left) <= drainTime {
+	fx.notices.mu.Lock()
+	since, known := fx.notices.noticed[hop{s.host, s.incarnation, r.server}]
+	fx.notices.mu.Unlock()
+	if !known || s.from.Sub(since) <= drainTime {
 		return
 	}
-	paused := w.faults.any(left, r.at, func(d *disturbance) bool { return d.what == pauseOfHost && d.host == s.host })
+	paused := fx.faults.any(since, r.at, func(d *disturbance) bool { return d.name == hostPause && d.host == s.host })
 	if !paused {
-		w.seen.fail("request %s reached %s from %s %v after an answer had told the host that the server leaves", s.id, r.server, s.host.id, s.from.Sub(left))
+		fx.observed.fail("request %s reached %s from %s %v after an answer had given the host the server's leave notice", s.id, r.server, s.host.id, s.from.Sub(since))
 	}
 }
 
-// judgeBackoffs counts the requests that each host sent to a server that had asked it to
-// back off. What is on its way for longer than backoffMargin since a link or a host was
-// harmed is excused.
-func (w *world) judgeBackoffs(requests []*sent) {
-	from := map[string]*sent{}
+// checkBackoffs counts the requests that each host sent to a server that had asked it to
+// back off. Unplanned disturbances excuse an excess, as they may keep requests in flight
+// for longer than backoffMargin.
+func (fx *fixture) checkBackoffs(requests []*request) {
+	from := map[string]*request{}
 	for _, s := range requests {
-		if s.host != nil && s.boot != 0 {
+		if s.host != nil && s.incarnation != 0 {
 			from[s.id] = s
 		}
 	}
-	by := map[way][]refusal{}
-	for _, r := range w.said.refusals {
+	byHop := map[hop][]rejection{}
+	for _, r := range fx.notices.rejections {
 		if s := from[r.id]; s != nil {
-			on := way{s.host, s.boot, r.server}
-			by[on] = append(by[on], r)
+			via := hop{s.host, s.incarnation, r.server}
+			byHop[via] = append(byHop[via], r)
 		}
 	}
-	for on, refusals := range by {
-		for _, asked := range refusals {
+	for via, rejections := range byHop {
+		for _, asked := range rejections {
 			late := 0
-			for _, r := range refusals {
+			for _, r := range rejections {
 				if r.at.After(asked.at.Add(backoffMargin)) && r.at.Before(asked.until) {
 					late++
 				}
 			}
-			harmed := w.faults.any(asked.at, asked.until, func(d *disturbance) bool { return !d.planned && d.what != crashUnderRequest })
-			if late > backoffAllowed && !harmed {
-				w.seen.fail("%s asked %s to back off and got %d requests from it in that time", on.server, on.host.id, late)
+			disturbed := fx.faults.any(asked.at, asked.until, func(d *disturbance) bool { return !d.planned && d.name != crashWhileRunning })
+			if late > backoffAllowed && !disturbed {
+				fx.observed.fail("%s asked %s to back off and received %d requests from it in that time", via.server, via.host.id, late)
 				break
 			}
 		}
 	}
 }
 
-// sealPrefix begins the seals of the stand-in servers.
+// sealPrefix is the prefix of the stand-in servers' seals.
 const sealPrefix = "seal-of-"
 
-// sealOf returns the server whose seal an answer bears.
+// sealOf returns the ID of the server whose seal an answer has, or "".
 func sealOf(h http.Header) string {
 	seal := h.Get(wire.Seal)
 	if len(seal) <= len(sealPrefix) {
--- a/test/soak/operator.go
+++ b/test/soak/operator.go
@@ -17,17 +17,17 @@
 	mu      sync.Mutex
 	version int64
 	weights int64
-	// granted holds the spare keys that are in force, and since when; revoked those
-	// that were taken away.
-	granted map[string]time.Time
-	revoked map[string]time.Time
-	keys    int
+	// granted maps the spare keys that are in force, and revoked those that no longer are,
+	// to the time of that change.
+	granted  map[string]time.Time
+	revoked  map[string]time.Time
+	keyCount int
 }
 
-// mainKeys are in force all the time.
+// mainKeys maps the API keys that are always in force to their organisations.
 var mainKeys = map[string]string{"key-of-museum-a": "museum-a", "key-of-museum-b": "museum-b", limitedKey: limitedOrganisation}
 
-// The organisation with a rate limit, of which callers ask for some four times as much.
+// The organisation with a rate limit. Callers send about four times the limit.
 const (
 	limitedKey          = "key-of-museum-d"
 	limitedOrganisation = "museum-d"
@@ -35,7 +35,7 @@
 	limitBurst          = 6
 )
 
-// spareOrganisation holds the keys that come and go.
+// spareOrganisation has the spare keys, which are granted and revoked during a run.
 const spareOrganisation = "museum-c"
 
 func newOperator(s *store.Store) *operator {
@@ -48,12 +48,12 @@
 func (o *operator) grant() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.keys++
-	o.granted[fmt.Sprintf("spare-key-%d", o.keys)] = time.Now()
+	o.keyCount++
+	o.granted[fmt.Sprintf("spare-key-%d", o.keyCount)] = time.Now()
 	o.write()
 }
 
-// revoke takes every spare key away.
+// revoke revokes every spare key.
 func (o *operator) revoke() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -64,8 +64,8 @@
 	o.write()
 }
 
-// spare returns the spare keys and when each got its present state.
-func (o *operator) spare() (granted, revoked map[string]time.Time) {
+// spareKeys returns the spare keys, each with the time when it was granted or revoked.
+func (o *operator) spareKeys() (granted, revoked map[string]time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	granted, revoked = map[string]time.Time{}, map[string]time.Time{}
@@ -78,23 +78,24 @@
 	return granted, revoked
 }
 
-// bump names new weights.
-func (o *operator) bump() {
+// bumpWeights writes the next version of the wanted weights.
+func (o *operator) bumpWeights() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.weights++
 	o.store.Put(platform.OperatorTopic, "version/"+model, fmt.Appendf(nil, `{"Model":%q,"Version":%d}`, model, o.weights))
 }
 
-func (o *operator) wanted() int64 {
+func (o *operator) wantedWeights() int64 {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.weights
 }
 
-// object is a JSON object of the operators' records.
+// object is a JSON object in an operators' record.
 type object map[string]any
 
+// write writes a new configuration. The caller holds o.mu.
 func (o *operator) write() {
 	o.version += 2
 	spare := make([]string, 0, len(o.granted))
--- a/test/soak/poison.go
+++ b/test/soak/poison.go
@@ -12,29 +12,29 @@
 )
 
 const (
-	// poisonSeeds is the first of the seeds, below and above fleetSeeds, in which one
-	// request crashes every server that runs it.
+	// poisonSeeds is the first of the seeds, below and above fleetSeeds, in which a caller
+	// repeats a request that crashes every server that runs it.
 	poisonSeeds = 5000
-	// poisonPause is the mean pause between two attempts at it.
+	// poisonPause is the mean pause between two attempts.
 	poisonPause = 250 * time.Millisecond
-	// poisonDown is how long a crashed server is gone, at most.
-	poisonDown = 1200 * time.Millisecond
-	// poisonCrashes may come before hosts must know of them, touch later; then as many
-	// again at the most.
+	// maxPoisonDowntime is the maximum downtime of a crashed server.
+	maxPoisonDowntime = 1200 * time.Millisecond
+	// poisonCrashes is the number of crashes after which hosts must quarantine the request,
+	// within recoveryTime. At most as many runs again are allowed after that.
 	poisonCrashes = 3
 )
 
 func hasPoison(seed uint64) bool { return seed%fleetSeeds >= poisonSeeds }
 
-// pressPoison sends the poison request again and again, to any host.
-func (w *world) pressPoison(ctx context.Context, rng *rand.Rand) {
-	c := w.newCaller(w.hosts)
-	for range pressLimit {
+// generatePoison repeats the poison request, each time to a random host.
+func (fx *fixture) generatePoison(ctx context.Context, rng *rand.Rand) {
+	c := fx.newCaller(fx.hosts)
+	for range maxRequests {
 		if ctx.Err() != nil {
 			return
 		}
-		s := &sent{kind: kinds[0], key: "key-of-museum-a", host: w.hosts[rng.IntN(len(w.hosts))], poison: true, body: engine.PoisonBody}
-		w.send(context.WithoutCancel(ctx), c, s, rng)
+		s := &request{kind: kinds[0], key: "key-of-museum-a", host: fx.hosts[rng.IntN(len(fx.hosts))], poison: true, body: engine.PoisonBody}
+		fx.send(context.WithoutCancel(ctx), c, s, rng)
 		select {
 		case <-ctx.Done():
 		case <-time.After(time.Duration(rng.Int64N(int64(2 * poisonPause)))):
@@ -42,47 +42,48 @@
 	}
 }
 
-// crash ends a start of a server with everything that it runs; another one follows.
-func (w *world) crash(s *server, id string) {
+// crash ends an incarnation of a server with all requests that it runs, and starts the next
+// one after a random downtime.
+func (fx *fixture) crash(s *server, id string) {
 	if !s.crashed.CompareAndSwap(false, true) {
 		return
 	}
-	// Begins before the first connection breaks, or what breaks with it would not be excused.
-	end := w.faults.begin(crashUnderRequest, nil, false)
-	s.front.leave()
+	// Begin before the first connection breaks, so that the requests on it are excused.
+	end := fx.faults.begin(crashWhileRunning, nil, false)
+	s.front.shut()
 	go func() {
 		defer end()
 		s.replacing.Lock()
 		defer s.replacing.Unlock()
-		time.Sleep(time.Duration(rand.Int64N(int64(poisonDown))))
+		time.Sleep(time.Duration(rand.Int64N(int64(maxPoisonDowntime))))
 		if s.current().ID == id {
-			w.begin(s)
-			w.store.Put(platform.ReplicaTopic, id, nil)
+			fx.startServer(s)
+			fx.store.Put(platform.ReplicaTopic, id, nil)
 		}
-		if err := s.front.back(); err != nil {
-			w.seen.fail("%s does not come back: %v", id, err)
+		if err := s.front.reopen(); err != nil {
+			fx.observed.fail("%s does not come back: %v", id, err)
 		}
 		s.crashed.Store(false)
 	}()
 }
 
-// crashUnderRequest is the disturbance of servers that crash under a request. It excuses
-// what is lost with them, and no host.
-const crashUnderRequest = "crash of a server under a request"
+// crashWhileRunning is the name of the disturbance when a server crashes while running a
+// request. It excuses lost answers, but does not count as a disturbance of hosts.
+const crashWhileRunning = "crash of a server under a request"
 
-// judgePoison counts the runs of the poison request that hosts in touch sent on when they
-// had to know of three crashes.
-func (w *world) judgePoison(requests []*sent) {
+// checkPoison counts the runs of the poison request that undisturbed hosts forwarded more
+// than recoveryTime after it had crashed poisonCrashes servers.
+func (fx *fixture) checkPoison(requests []*request) {
 	type poisonRun struct {
 		at time.Time
-		of *sent
+		of *request
 	}
 	var runs []poisonRun
 	for _, s := range requests {
 		if !s.poison {
 			continue
 		}
-		for _, r := range w.seen.runsOf(s.id) {
+		for _, r := range fx.observed.runsOf(s.id) {
 			runs = append(runs, poisonRun{r.at, s})
 		}
 	}
@@ -92,19 +93,19 @@
 		if i < poisonCrashes {
 			continue
 		}
-		known := runs[poisonCrashes-1].at.Add(touch)
-		if r.of.from.After(known) && w.faults.inTouch(r.of.host, r.of.from, r.at) {
+		known := runs[poisonCrashes-1].at.Add(recoveryTime)
+		if r.of.from.After(known) && fx.faults.undisturbed(r.of.host, r.of.from, r.at) {
 			late++
 		}
 	}
 	if late > poisonCrashes {
-		w.seen.fail("a request that had crashed %d servers ran %d times more, sent on by hosts in touch, %d runs in all", poisonCrashes, late, len(runs))
+		fx.observed.fail("a request that had crashed %d servers ran %d times more, forwarded by undisturbed hosts, %d runs in all", poisonCrashes, late, len(runs))
 	}
 }
 
-// judgeDenied: no other request is denied for crashes that were not its own.
-func (w *world) judgeDenied(s *sent) {
+// checkDenied checks that only the poison request is denied.
+func (fx *fixture) checkDenied(s *request) {
 	if s.err == nil && s.answer.Status == http.StatusBadRequest && !s.poison {
-		w.seen.fail("request %s of %s was denied: %s", s.id, s.kind.name, s.answer.Body)
+		fx.observed.fail("request %s of %s was denied: %s", s.id, s.kind.name, s.answer.Body)
 	}
 }
--- a/test/soak/proxy.go
+++ b/test/soak/proxy.go
@@ -7,22 +7,22 @@
 	"time"
 )
 
-// mode is what a proxy does with its connections.
+// mode is how a proxy treats its connections.
 type mode int
 
 const (
-	// pass forwards both ways.
+	// pass forwards in both directions.
 	pass mode = iota
-	// silence holds every byte back, in open and new connections.
-	silence
-	// oneWay holds back what the server sends.
+	// blackhole holds back all data on open and new connections.
+	blackhole
+	// oneWay holds back only what the server sends.
 	oneWay
-	// delay forwards each piece late.
+	// delay forwards each chunk after delayTime.
 	delay
-	// refuse resets new connections, and the open ones.
-	refuse
-	// hush silences the open connections for good, and passes new ones.
-	hush
+	// reset resets open and new connections.
+	reset
+	// blackholeOpen permanently drops all data on open connections; new ones work.
+	blackholeOpen
 )
 
 func (m mode) String() string {
@@ -30,16 +30,16 @@
 }
 
 const (
-	// delayTime is how late a delayed piece is: most of a call's time-out.
+	// delayTime is the delay of a chunk: most of the timeout of a call.
 	delayTime = 300 * time.Millisecond
-	// holdPoll is how often held connections look whether they may go on.
-	holdPoll = 20 * time.Millisecond
+	// pollInterval is how often held-back connections check whether they may continue.
+	pollInterval = 20 * time.Millisecond
 )
 
-// proxy forwards TCP connections to a target on loopback, and harms them.
+// proxy forwards TCP connections to a target on loopback and injects network faults.
 type proxy struct {
 	listener net.Listener
-	// accepting is closed once the listener's last connection was accepted.
+	// accepting is closed once the listener no longer accepts connections.
 	accepting chan struct{}
 	target    string
 
@@ -49,7 +49,7 @@
 	conns map[*net.TCPConn]bool
 }
 
-// link is one forwarded connection.
+// link is a forwarded connection. Its epoch is that of the proxy when it was opened.
 type link struct {
 	p     *proxy
 	epoch int
@@ -67,17 +67,17 @@
 
 func (p *proxy) address() string { return p.listener.Addr().String() }
 
-// set changes the mode. Connections that are silenced for good belong to an
-// older epoch.
+// set changes the mode. blackholeOpen starts a new epoch: connections of older epochs
+// forward nothing more.
 func (p *proxy) set(m mode) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.mode = m
 	switch m {
-	case hush:
+	case blackholeOpen:
 		p.epoch++
 		p.mode = pass
-	case refuse:
+	case reset:
 		p.resetAll()
 	}
 }
@@ -87,9 +87,9 @@
 	go p.accept(listener, p.accepting)
 }
 
-// leave closes the address: connections to it are refused, open ones reset. Until the
-// listener accepts no more, it holds the address.
-func (p *proxy) leave() {
+// shut closes the listener and resets open connections; new connections are refused. It
+// waits until the listener accepts no more, as the address is in use until then.
+func (p *proxy) shut() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.listener.Close()
@@ -97,8 +97,8 @@
 	p.resetAll()
 }
 
-// back opens the address again.
-func (p *proxy) back() error {
+// reopen listens on the address again.
+func (p *proxy) reopen() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	listener, err := net.Listen("tcp4", p.address())
@@ -111,7 +111,7 @@
 
 func (p *proxy) resetAll() {
 	for c := range p.conns {
-		// A reset, not a clean end; a connection that is closed already is no matter.
+		// Zero linger makes the close a reset. Errors of closed connections don't matter.
 		_ = c.SetLinger(0)
 		_ = c.Close()
 	}
@@ -124,7 +124,8 @@
 	p.resetAll()
 }
 
-func (p *proxy) state(l *link) (m mode, silenced bool) {
+// state returns the mode, and whether the link is of an older epoch.
+func (p *proxy) state(l *link) (m mode, stale bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.mode, l.epoch != p.epoch
@@ -146,7 +147,7 @@
 	l := &link{p, p.epoch}
 	m := p.mode
 	p.mu.Unlock()
-	if m == refuse {
+	if m == reset {
 		_ = client.SetLinger(0)
 		client.Close()
 		return
@@ -157,17 +158,17 @@
 		return
 	}
 	server := raw.(*net.TCPConn)
-	p.keep(client, true)
-	p.keep(server, true)
+	p.track(client, true)
+	p.track(server, true)
 	var wg sync.WaitGroup
 	wg.Go(func() { l.copy(server, client, false) })
 	wg.Go(func() { l.copy(client, server, true) })
 	wg.Wait()
-	p.keep(client, false)
-	p.keep(server, false)
+	p.track(client, false)
+	p.track(server, false)
 }
 
-func (p *proxy) keep(c *net.TCPConn, open bool) {
+func (p *proxy) track(c *net.TCPConn, open bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if open {
@@ -178,12 +179,13 @@
 	c.Close()
 }
 
-// copy forwards until one side ends, and passes the end on: a reset as a reset.
-func (l *link) copy(to, from *net.TCPConn, back bool) {
+// copy forwards data in one direction until the source ends, and then ends the other side
+// in the same way: a reset as a reset.
+func (l *link) copy(to, from *net.TCPConn, fromServer bool) {
 	buf := make([]byte, 16<<10)
 	for {
 		n, err := from.Read(buf)
-		if n > 0 && l.hold(back) {
+		if n > 0 && l.hold(fromServer) {
 			if _, err := to.Write(buf[:n]); err != nil {
 				from.Close()
 				return
@@ -197,22 +199,22 @@
 			to.Close()
 			return
 		}
-		if l.hold(back) {
+		if l.hold(fromServer) {
 			_ = to.CloseWrite()
 		}
 		return
 	}
 }
 
-// hold waits while bytes may not pass; it returns false if they never will.
-func (l *link) hold(back bool) bool {
+// hold waits while data must not be forwarded, and returns false if it must be dropped.
+func (l *link) hold(fromServer bool) bool {
 	for {
-		m, silenced := l.p.state(l)
+		m, stale := l.p.state(l)
 		switch {
-		case silenced:
+		case stale:
 			return false
-		case m == silence, m == oneWay && back:
-			time.Sleep(holdPoll)
+		case m == blackhole, m == oneWay && fromServer:
+			time.Sleep(pollInterval)
 		case m == delay:
 			time.Sleep(delayTime)
 			return true
--- a/test/soak/sized.go
+++ b/test/soak/sized.go
@@ -14,22 +14,22 @@
 )
 
 const (
-	// mostRestarts is how often a server starts again in one series, at most.
-	mostRestarts = 4
-	// mostMalformed is the largest number of malformed entries written at once.
-	mostMalformed = 60
-	// takeOver is when callers must be sent to other hosts once all routing ones are
-	// lost: their silence is noticed after 2.5 s at most.
-	takeOver = 4 * time.Second
+	// maxRestarts is the maximum number of restarts of a server in a row.
+	maxRestarts = 4
+	// maxMalformed is the maximum number of malformed entries written at once.
+	maxMalformed = 60
+	// failoverTime is how soon the directory must name other hosts after the loss of all
+	// routing hosts, which is detected after 2.5 s at most.
+	failoverTime = 4 * time.Second
 )
 
-// withSized adds servers that start again under their IDs, losses of all routing
-// hosts, and malformed entries; only the latter where nothing but planned work is done.
-func withSized(series []fault, rng *rand.Rand, s size, length time.Duration, plannedOnly bool) []fault {
+// withMixed adds servers that restart under the same ID, losses of all routing hosts, and
+// malformed entries. Series of planned work get only malformed entries.
+func withMixed(series []fault, rng *rand.Rand, s size, length time.Duration, plannedOnly bool) []fault {
 	for at := time.Duration(0); at < length; at += time.Duration(rng.Int64N(int64(4 * meanGap))) {
-		f := drawSized(rng, s)
+		f := drawMixed(rng, s)
 		for plannedOnly && !f.planned {
-			f = drawSized(rng, s)
+			f = drawMixed(rng, s)
 		}
 		f.at = at
 		series = append(series, f)
@@ -38,48 +38,48 @@
 	return series
 }
 
-func drawSized(rng *rand.Rand, s size) fault {
-	j, for_, seed := rng.IntN(s.writers+s.jobs), time.Duration(rng.Int64N(int64(meanGap))), rng.Uint64()
-	times, entries := 1+rng.IntN(mostRestarts), 1+rng.IntN(mostMalformed)
+func drawMixed(rng *rand.Rand, s size) fault {
+	j, duration, seed := rng.IntN(s.writers+s.jobs), time.Duration(rng.Int64N(int64(meanGap))), rng.Uint64()
+	times, entries := 1+rng.IntN(maxRestarts), 1+rng.IntN(maxMalformed)
 	switch rng.IntN(5) {
 	case 0, 1:
-		return fault{name: fmt.Sprintf("server %d starts again under its ID %d times, down for %v", j, times, for_), do: func(w *world) { w.restartServer(j, times, for_) }}
+		return fault{name: fmt.Sprintf("server %d starts again under its ID %d times, down for %v", j, times, duration), do: func(fx *fixture) { fx.restartServer(j, times, duration) }}
 	case 2:
-		return fault{name: fmt.Sprintf("kill the routing hosts, start after %v", for_), do: func(w *world) { w.killRouting(for_) }}
+		return fault{name: fmt.Sprintf("kill the routing hosts, start after %v", duration), do: func(fx *fixture) { fx.killRouting(duration) }}
 	default:
-		return fault{name: fmt.Sprintf("%d malformed entries", entries), planned: true, do: func(w *world) { w.writeMalformed(rand.New(rand.NewPCG(seed, 0)), entries) }}
+		return fault{name: fmt.Sprintf("%d malformed entries", entries), planned: true, do: func(fx *fixture) { fx.writeMalformed(rand.New(rand.NewPCG(seed, 0)), entries) }}
 	}
 }
 
-// restartServer crashes a server and starts it again under its ID, some times in a row.
-func (w *world) restartServer(j, times int, down time.Duration) {
-	s := w.servers[j]
-	end := w.faults.begin("restart of a server", nil, false)
+// restartServer crashes a server and starts it again under its ID, repeatedly.
+func (fx *fixture) restartServer(j, times int, down time.Duration) {
+	s := fx.servers[j]
+	end := fx.faults.begin("restart of a server", nil, false)
 	defer end()
 	s.replacing.Lock()
 	defer s.replacing.Unlock()
 	for range times {
-		s.front.set(refuse)
+		s.front.set(reset)
 		time.Sleep(down)
 		s.mu.Lock()
-		w.startAs(s, s.engine.ID)
+		fx.startWithID(s, s.engine.ID)
 		s.mu.Unlock()
 		s.front.set(pass)
 		time.Sleep(down)
 	}
 }
 
-// routing returns the hosts that callers are sent to, as the first of the directories
-// that answers names them.
-func (w *world) routing(of []*host) []*host {
-	c := w.newCaller(of)
+// routing returns the hosts that the directory names, according to the first of the given
+// hosts that answers.
+func (fx *fixture) routing(directories []*host) []*host {
+	c := fx.newCaller(directories)
 	c.Zone = ""
 	named, err := c.Resolve(context.Background())
 	if err != nil {
 		return nil
 	}
 	var out []*host
-	for _, h := range w.hosts {
+	for _, h := range fx.hosts {
 		if slices.Contains(named, h.caller()) {
 			out = append(out, h)
 		}
@@ -87,66 +87,66 @@
 	return out
 }
 
-func (w *world) killRouting(after time.Duration) {
-	end := w.faults.begin("kill of the routing hosts", nil, false)
+func (fx *fixture) killRouting(after time.Duration) {
+	end := fx.faults.begin("kill of the routing hosts", nil, false)
 	defer end()
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	for _, h := range w.routing(w.hosts) {
-		wg.Go(func() { w.killHost(slices.Index(w.hosts, h), after) })
+	for _, h := range fx.routing(fx.hosts) {
+		wg.Go(func() { fx.killHost(slices.Index(fx.hosts, h), after) })
 	}
 }
 
-// replaced kills the routing hosts while all else is calm. Those that stood by must
-// be named in their place, serve, and have weights loaded that are named meanwhile.
-func (w *world) replaced() {
-	lost := w.routing(w.hosts)
-	left := slices.DeleteFunc(slices.Clone(w.hosts), func(h *host) bool { return slices.Contains(lost, h) })
-	if len(lost) == 0 || len(left) == 0 {
-		w.seen.fail("%d of %d hosts are named to callers", len(lost), len(w.hosts))
+// checkFailover kills the routing hosts while nothing else is disturbed. The standby hosts
+// must replace them in the directory, serve, and load weights that are requested meanwhile.
+func (fx *fixture) checkFailover() {
+	lost := fx.routing(fx.hosts)
+	remaining := slices.DeleteFunc(slices.Clone(fx.hosts), func(h *host) bool { return slices.Contains(lost, h) })
+	if len(lost) == 0 || len(remaining) == 0 {
+		fx.observed.fail("%d of %d hosts are named to callers", len(lost), len(fx.hosts))
 		return
 	}
 	var wg sync.WaitGroup
 	for _, h := range lost {
-		defer w.faults.begin("loss with all routing hosts", h, false)()
+		defer fx.faults.begin("loss with all routing hosts", h, false)()
 		wg.Go(h.kill)
 	}
 	wg.Wait()
-	w.config.bump()
-	time.Sleep(takeOver)
-	for _, h := range left {
-		named := w.routing([]*host{h})
+	fx.operator.bumpWeights()
+	time.Sleep(failoverTime)
+	for _, h := range remaining {
+		named := fx.routing([]*host{h})
 		if len(named) == 0 || slices.ContainsFunc(named, func(n *host) bool { return slices.Contains(lost, n) }) {
-			w.seen.fail("%s sends callers to %d hosts, lost ones or none, %v after the loss of the routing hosts", h.id, len(named), takeOver)
+			fx.observed.fail("%s sends callers to %d hosts, lost ones or none, %v after the loss of the routing hosts", h.id, len(named), failoverTime)
 		}
 	}
-	w.recovered(left)
+	fx.checkRecovery(remaining)
 	for _, h := range lost {
-		wg.Go(func() { w.restart(h) })
+		wg.Go(func() { fx.restart(h) })
 	}
 	wg.Wait()
-	w.calm()
+	fx.waitReady()
 }
 
-// trap listens where malformed entries point: nothing may be sent there.
+// trap listens at the address in malformed entries, where no request may arrive.
 type trap struct {
 	address string
 	http    *http.Server
 }
 
-func newTrap(address string, seen *record) (*trap, error) {
+func newTrap(address string, observed *observations) (*trap, error) {
 	listener, err := net.Listen("tcp4", address)
 	if err != nil {
 		return nil, err
 	}
 	t := &trap{listener.Addr().String(), &http.Server{Handler: http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
-		seen.fail("%s %s went to the address of a malformed entry", r.Method, r.URL.Path)
+		observed.fail("%s %s went to the address of a malformed entry", r.Method, r.URL.Path)
 	})}}
 	go t.http.Serve(listener)
 	return t, nil
 }
 
-// malformed are entries that name no server; %q stands for an address.
+// malformed are invalid entries of servers; %q is replaced by an address.
 var malformed = []string{
 	`{"Service":"writer","Addr":%q`,
 	`{"Service":"writer","Addr":%q}`,
@@ -158,21 +158,21 @@
 	`{"Service":"writer","Addr":%q,"Zone":"zone-0","Version":"v1","Slots":8,"State":"ready","ColdLeftMs":0,"Seq":0,"Models":{"m":1}}`,
 }
 
-// writeMalformed writes entries under IDs of their own, and now and then under that
-// of a sound server, whose next heartbeat replaces them; other topics get some too.
-func (w *world) writeMalformed(rng *rand.Rand, n int) {
+// writeMalformed writes malformed entries under unused IDs and sometimes under that of a
+// real server, whose next heartbeat replaces the entry. Some also go to other topics.
+func (fx *fixture) writeMalformed(rng *rand.Rand, n int) {
 	for i := range n {
 		key := fmt.Sprintf("stranger-%d", i)
 		if rng.IntN(8) == 0 {
-			key = w.servers[rng.IntN(len(w.servers))].current().ID
+			key = fx.servers[rng.IntN(len(fx.servers))].current().ID
 		}
-		value := fmt.Appendf(nil, malformed[rng.IntN(len(malformed))], w.trap.address)
-		w.store.Put(platform.ReplicaTopic, key, value)
+		value := fmt.Appendf(nil, malformed[rng.IntN(len(malformed))], fx.trap.address)
+		fx.store.Put(platform.ReplicaTopic, key, value)
 		switch rng.IntN(16) {
 		case 0:
-			w.store.Put(platform.OperatorTopic, fmt.Sprintf("version/stranger-%d", i), value)
+			fx.store.Put(platform.OperatorTopic, fmt.Sprintf("version/stranger-%d", i), value)
 		case 1:
-			w.store.Put(platform.HostTopic, key, value)
+			fx.store.Put(platform.HostTopic, key, value)
 		}
 	}
 }
--- a/test/soak/world.go
+++ b/test/soak/world.go
@@ -22,33 +22,34 @@
 const (
 	model    = "m"
 	hostName = "museum.example"
-	// heartbeat is how often a server renews its entry.
+	// heartbeat is the interval at which a server renews its entry in the store.
 	heartbeat = 400 * time.Millisecond
 )
 
-// size is how many there are in a seed: hosts, the first of which are large, and
-// servers of either service.
+// size holds the numbers of hosts and servers in a seed. The first hosts are the large
+// ones. The writer service runs a model; the jobs service is a plain one.
 type size struct {
 	hosts, large  int
 	writers, jobs int
-	// spares are servers of the plain service with another version.
+	// spares is the number of servers with the canary version of the plain service.
 	spares int
 }
 
 const (
-	// sizedSeeds is the first of the seeds with hosts of two sizes, servers that start
-	// again under their IDs, malformed entries, and routing hosts lost together.
-	sizedSeeds = 3000
-	// fleetSeeds is the first of the seeds with a fleet, of which most hosts stand by.
-	// Its processes take some 1.5 GB of memory, so that two fit beside each other.
+	// mixedSeeds is the first seed with hosts of two sizes, servers that restart under
+	// the same ID, malformed entries, and the loss of all routing hosts at once.
+	mixedSeeds = 3000
+	// fleetSeeds is the first seed with a large fleet, in which most hosts are standby
+	// hosts. Its processes take about 1.5 GB of memory, so that two such seeds can run
+	// at once.
 	fleetSeeds = 100000
-	// largeCores and smallCores are what hosts of the two sizes have.
+	// largeCores and smallCores are the CPU cores of the two sizes of hosts.
 	largeCores, smallCores = 4, 1
 )
 
 func sizeOf(seed uint64) size {
 	s := plainSize(seed)
-	if hasMoves(seed) {
+	if hasCanary(seed) {
 		s.spares = s.jobs
 	}
 	return s
@@ -58,30 +59,31 @@
 	switch {
 	case seed >= fleetSeeds:
 		return size{hosts: 64, large: 10, writers: 8, jobs: 4}
-	case seed >= sizedSeeds:
+	case seed >= mixedSeeds:
 		return size{hosts: 8, large: 4, writers: 4, jobs: 2}
 	default:
 		return size{hosts: 4, large: 4, writers: 3, jobs: 2}
 	}
 }
 
-// server is one address of a backend server, with the start that has it now.
+// server is the address of a backend server and its current incarnation. Hosts connect
+// to front, which forwards to the HTTP server that listens at listenAddress.
 type server struct {
-	service string
-	front   *proxy
-	http    *http.Server
-	back    string
-	// replacing is held while one start follows another.
+	service       string
+	front         *proxy
+	http          *http.Server
+	listenAddress string
+	// replacing is held while one incarnation replaces another.
 	replacing sync.Mutex
-	// crashed is set from a crash under a request until the next start.
+	// crashed is set from a crash while running a request until the next incarnation.
 	crashed atomic.Bool
-	// idle is set while the server is not there at all.
+	// idle is set while no server runs at the address.
 	idle atomic.Bool
 
-	mu       sync.Mutex
-	engine   *engine.Engine
-	starts   int
-	draining bool
+	mu           sync.Mutex
+	engine       *engine.Engine
+	incarnations int
+	draining     bool
 }
 
 func (s *server) current() *engine.Engine {
@@ -90,8 +92,8 @@
 	return s.engine
 }
 
-// world is everything around the hosts, and what was seen there.
-type world struct {
+// fixture is the environment of the hosts of one seed, with all that is observed in it.
+type fixture struct {
 	size    size
 	dir     string
 	ip      func(i int) string
@@ -101,26 +103,28 @@
 	trap    *trap
 	hosts   []*host
 	servers []*server
-	// spares are servers of another version, which serve after an order to move to it.
-	spares []*server
-	move   *move
-	config *operator
-	seen   *record
-	said   *notices
-	// late is whether the store hears of servers that leave later than hosts.
-	late   bool
-	faults *disturbances
+	// spares are the servers of the canary version; they are idle until its release.
+	spares   []*server
+	canary   *canary
+	operator *operator
+	observed *observations
+	notices  *notices
+	// delayLeaving makes the store show that a server leaves only some time after hosts
+	// can see it in the server's answers.
+	delayLeaving bool
+	faults       *disturbances
 }
 
-// firstBlock is the first of the blocks 127.0.N.0/24, and storePort the store's port in
-// each: who listens there has the block.
+// Each seed uses one of the address blocks 127.0.N.0/24, with N from firstBlock to
+// lastBlock. Listening on storePort in a block reserves it.
 const (
 	firstBlock, lastBlock = 60, 250
 	storePort             = 18100
 )
 
-// claim takes a block that no other run on this machine has, and listens for its store.
-func claim() (block int, store net.Listener, err error) {
+// reserveBlock reserves a block that no other run on this machine uses, and returns the
+// listener for its store.
+func reserveBlock() (block int, store net.Listener, err error) {
 	for block = firstBlock; block <= lastBlock; block++ {
 		if store, err = net.Listen("tcp4", fmt.Sprintf("127.0.%d.1:%d", block, storePort)); err == nil {
 			break
@@ -129,52 +133,52 @@
 	return block, store, err
 }
 
-func newWorld(binary, dir string, s size) (*world, error) {
-	block, listener, err := claim()
+func newFixture(binary, dir string, s size) (*fixture, error) {
+	block, listener, err := reserveBlock()
 	if err != nil {
 		return nil, err
 	}
-	w := &world{
-		size: s, dir: dir, store: store.New(), seen: newRecord(), said: newNotices(), faults: &disturbances{},
+	fx := &fixture{
+		size: s, dir: dir, store: store.New(), observed: newObservations(), notices: newNotices(), faults: &disturbances{},
 		ip: func(i int) string { return fmt.Sprintf("127.0.%d.%d", block, i) },
 	}
-	w.config = newOperator(w.store)
-	w.backend = listener.Addr().String()
-	w.http = &http.Server{Handler: w.store.Handler()}
-	go w.http.Serve(listener)
-	if w.trap, err = newTrap(w.ip(2)+":0", w.seen); err != nil {
+	fx.operator = newOperator(fx.store)
+	fx.backend = listener.Addr().String()
+	fx.http = &http.Server{Handler: fx.store.Handler()}
+	go fx.http.Serve(listener)
+	if fx.trap, err = newTrap(fx.ip(2)+":0", fx.observed); err != nil {
 		return nil, err
 	}
 	for i := range s.writers + s.jobs {
-		server, err := w.newServer(i)
+		server, err := fx.newServer(i)
 		if err != nil {
 			return nil, err
 		}
-		w.servers = append(w.servers, server)
+		fx.servers = append(fx.servers, server)
 	}
 	for i := range s.spares {
-		server, err := w.newServer(s.writers + s.jobs + i)
+		server, err := fx.newServer(s.writers + s.jobs + i)
 		if err != nil {
 			return nil, err
 		}
 		server.idle.Store(true)
-		server.front.set(refuse)
-		w.spares = append(w.spares, server)
+		server.front.set(reset)
+		fx.spares = append(fx.spares, server)
 	}
 	var seeds []string
 	for i := range s.hosts {
-		seeds = append(seeds, fmt.Sprintf("%q", w.ip(10+i)))
+		seeds = append(seeds, fmt.Sprintf("%q", fx.ip(10+i)))
 	}
 	for i := range s.hosts {
-		if err := w.addHost(i, binary, strings.Join(seeds, ",")); err != nil {
+		if err := fx.addHost(i, binary, strings.Join(seeds, ",")); err != nil {
 			return nil, err
 		}
 	}
-	return w, nil
+	return fx, nil
 }
 
-func (w *world) startHosts() error {
-	for _, h := range w.hosts {
+func (fx *fixture) startHosts() error {
+	for _, h := range fx.hosts {
 		if err := h.start(); err != nil {
 			return err
 		}
@@ -182,76 +186,76 @@
 	return nil
 }
 
-func (w *world) addHost(i int, binary, seeds string) error {
-	front, err := newProxy(w.ip(10+i)+":0", w.backend)
+func (fx *fixture) addHost(i int, binary, seeds string) error {
+	front, err := newProxy(fx.ip(10+i)+":0", fx.backend)
 	if err != nil {
 		return err
 	}
 	id, cores := fmt.Sprintf("entry-%d", i), smallCores
-	if i < w.size.large {
+	if i < fx.size.large {
 		cores = largeCores
 	}
-	h := &host{id: id, cores: cores, ip: w.ip(10 + i), zone: fmt.Sprintf("zone-%d", i%2), binary: binary, store: front, log: filepath.Join(w.dir, id+".log")}
-	h.settings = filepath.Join(w.dir, id+".hujson")
+	h := &host{id: id, cores: cores, ip: fx.ip(10 + i), zone: fmt.Sprintf("zone-%d", i%2), binary: binary, store: front, log: filepath.Join(fx.dir, id+".log")}
+	h.settings = filepath.Join(fx.dir, id+".hujson")
 	if err := os.WriteFile(h.settings, []byte(settingsFor(h, seeds)), 0o644); err != nil {
 		return err
 	}
-	w.hosts = append(w.hosts, h)
+	fx.hosts = append(fx.hosts, h)
 	return nil
 }
 
-// newServer returns the server at the i-th address.
-func (w *world) newServer(i int) (*server, error) {
-	listener, err := net.Listen("tcp4", w.ip(100+i)+":0")
+// newServer starts the server at the i-th address.
+func (fx *fixture) newServer(i int) (*server, error) {
+	listener, err := net.Listen("tcp4", fx.ip(100+i)+":0")
 	if err != nil {
 		return nil, err
 	}
-	s := &server{service: "writer", back: listener.Addr().String()}
-	if i >= w.size.writers {
+	s := &server{service: "writer", listenAddress: listener.Addr().String()}
+	if i >= fx.size.writers {
 		s.service = "jobs"
 	}
-	if s.front, err = newProxy(w.ip(100+i)+":0", s.back); err != nil {
+	if s.front, err = newProxy(fx.ip(100+i)+":0", s.listenAddress); err != nil {
 		return nil, err
 	}
-	w.begin(s)
+	fx.startServer(s)
 	s.http = &http.Server{Handler: http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) { s.current().Handler().ServeHTTP(rw, r) })}
 	go s.http.Serve(listener)
 	return s, nil
 }
 
-// begin starts a server anew under another ID.
-func (w *world) begin(s *server) {
+// startServer starts a new incarnation of a server, under a new ID.
+func (fx *fixture) startServer(s *server) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.starts++
-	w.startAs(s, fmt.Sprint(idPrefix(s), s.starts))
+	s.incarnations++
+	fx.startWithID(s, fmt.Sprint(idPrefix(s), s.incarnations))
 	s.draining = false
 }
 
-// idPrefix begins the IDs of the starts at an address.
+// idPrefix returns the common prefix of the IDs that incarnations at an address get.
 func idPrefix(s *server) string {
-	return fmt.Sprintf("i-%s-", strings.ReplaceAll(strings.Split(s.back, ":")[0], ".", "-"))
+	return fmt.Sprintf("i-%s-", strings.ReplaceAll(strings.Split(s.listenAddress, ":")[0], ".", "-"))
 }
 
-// startAs starts a server with the first weights; s.mu is held. Plain servers don't
-// tell when they started.
-func (w *world) startAs(s *server, id string) {
+// startWithID starts a server with weights version 1. The caller holds s.mu. Plain
+// servers don't report when they started.
+func (fx *fixture) startWithID(s *server, id string) {
 	o := engine.Options{ID: id, Service: s.service, Address: s.front.address(), Zone: "zone-0", Slots: 8, Events: streamEvents, Pace: 40 * time.Millisecond, LoadTime: 250 * time.Millisecond}
 	if s.service == "writer" {
 		o.Model, o.Started = model, time.Now().UnixMilli()
 	}
-	o.OnRun = func(request string, h http.Header) { w.seen.ran(id, request, h) }
-	o.OnCrash = func() { w.crash(s, id) }
-	o.OnTurnedAway = func(request string, left time.Duration) { w.said.refused(id, request, left) }
-	o.OnFault = w.seen.spoils
-	o.OnOrder = func(holder string, fence int64) { w.seen.ordered(holder, fence) }
+	o.OnRun = func(request string, h http.Header) { fx.observed.recordRun(id, request, h) }
+	o.OnCrash = func() { fx.crash(s, id) }
+	o.OnTurnedAway = func(request string, backoff time.Duration) { fx.notices.recordRejection(id, request, backoff) }
+	o.OnFault = fx.observed.recordServerFault
+	o.OnOrder = func(holder string, fence int64) { fx.observed.recordCommand(holder, fence) }
 	s.engine = engine.New(o)
 }
 
-// heartbeats renews the servers' entries.
-func (w *world) heartbeats(ctx context.Context) {
+// heartbeats renews the servers' entries in the store until ctx ends.
+func (fx *fixture) heartbeats(ctx context.Context) {
 	for ctx.Err() == nil {
-		for _, s := range slices.Concat(w.servers, w.spares) {
+		for _, s := range slices.Concat(fx.servers, fx.spares) {
 			if s.idle.Load() {
 				continue
 			}
@@ -261,8 +265,8 @@
 			if s.crashed.Load() {
 				continue
 			}
-			// The stand-in of the store takes it whatever its mode is.
-			_ = e.Register(func(key string, entry any) error { return w.store.PutJSON(platform.ReplicaTopic, key, entry) }, draining)
+			// Writes to the stand-in store succeed in every mode.
+			_ = e.Register(func(key string, entry any) error { return fx.store.PutJSON(platform.ReplicaTopic, key, entry) }, draining)
 		}
 		select {
 		case <-ctx.Done():
@@ -271,39 +275,39 @@
 	}
 }
 
-// replace ends a start of a server and begins another at its address. A planned
-// end is told first, and new requests may come for drainTime after that.
-func (w *world) replace(s *server, planned bool) {
+// replace ends one incarnation of a server and starts another at its address. A planned
+// end is announced first; new requests may arrive for drainTime after that.
+func (fx *fixture) replace(s *server, planned bool) {
 	old := s.current()
 	if planned {
 		old.Leave()
-		if w.late {
-			time.Sleep(time.Duration(rand.Int64N(int64(laterAtStore))))
+		if fx.delayLeaving {
+			time.Sleep(time.Duration(rand.Int64N(int64(maxLeavingDelay))))
 		}
 		s.mu.Lock()
 		s.draining = true
 		s.mu.Unlock()
-		w.seen.leaves(old.ID)
-		_ = old.Register(func(key string, entry any) error { return w.store.PutJSON(platform.ReplicaTopic, key, entry) }, true)
+		fx.observed.recordLeaving(old.ID)
+		_ = old.Register(func(key string, entry any) error { return fx.store.PutJSON(platform.ReplicaTopic, key, entry) }, true)
 		time.Sleep(drainTime + time.Second)
 	} else {
-		s.front.set(refuse)
+		s.front.set(reset)
 	}
-	w.begin(s)
-	w.store.Put(platform.ReplicaTopic, old.ID, nil)
+	fx.startServer(s)
+	fx.store.Put(platform.ReplicaTopic, old.ID, nil)
 	s.front.set(pass)
 }
 
-// stop ends everything that the world started.
-func (w *world) stop() {
-	for _, h := range w.hosts {
-		h.end()
+// stop ends all processes and servers of the fixture.
+func (fx *fixture) stop() {
+	for _, h := range fx.hosts {
+		h.shutDown()
 		h.store.close()
 	}
-	for _, s := range slices.Concat(w.servers, w.spares) {
+	for _, s := range slices.Concat(fx.servers, fx.spares) {
 		s.front.close()
 		s.http.Close()
 	}
-	w.trap.http.Close()
-	w.http.Close()
+	fx.trap.http.Close()
+	fx.http.Close()
 }
