--- a/test/standin/caller/caller.go
+++ b/test/standin/caller/caller.go
@@ -1,5 +1,5 @@
-// Package caller is a stand-in for the platform's callers: it asks the directory
-// where to connect, keeps the answer for a while, and sends requests there.
+// Package caller is a stand-in for callers: it looks up hosts in the directory, caches
+// the answer for its TTL, and sends requests to them.
 package caller
 
 import (
@@ -18,9 +18,10 @@
 	"github.com/briarlink/briarlink/test/standin/wire"
 )
 
-// Caller is safe for concurrent use.
+// Caller looks up hosts and sends requests. It is safe for concurrent use.
 type Caller struct {
-	// Directories are the addresses to ask, the nearest first.
+	// Directories are the addresses of directories in the order in which they are tried, the
+	// nearest first.
 	Directories []string
 	HostName    string
 	Zone        string
@@ -28,17 +29,17 @@
 
 	mu        sync.Mutex
 	addresses []string
-	until     time.Time
+	expiry    time.Time
 	client    http.Client
 }
 
-// Answer is what a caller got.
+// Answer is the answer to a request.
 type Answer struct {
 	Status     int
 	Header     http.Header
 	Body       string
 	RetryAfter time.Duration
-	// Whole is false when the connection ended within the answer.
+	// Whole is false if the connection ended before the answer was complete.
 	Whole bool
 }
 
@@ -47,27 +48,28 @@
 	TtlS  float64
 }
 
-// Resolve returns the addresses to use.
+// Resolve returns the addresses of the hosts to use, from the cache or from the first
+// directory that answers.
 func (c *Caller) Resolve(ctx context.Context) ([]string, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if time.Now().Before(c.until) {
+	if time.Now().Before(c.expiry) {
 		return c.addresses, nil
 	}
 	query := url.Values{"Name": {c.HostName}, "Zone": {c.Zone}}.Encode()
-	err := fmt.Errorf("no directory is known")
+	err := fmt.Errorf("no directory address is configured")
 	for _, d := range c.Directories {
 		var answer directoryAnswer
-		if answer, err = c.ask(ctx, "http://"+d+"/-/resolve?"+query); err == nil {
+		if answer, err = c.queryDirectory(ctx, "http://"+d+"/-/resolve?"+query); err == nil {
 			c.addresses = answer.Addrs
-			c.until = time.Now().Add(time.Duration(answer.TtlS * float64(time.Second)))
+			c.expiry = time.Now().Add(time.Duration(answer.TtlS * float64(time.Second)))
 			return c.addresses, nil
 		}
 	}
 	return nil, err
 }
 
-func (c *Caller) ask(ctx context.Context, target string) (directoryAnswer, error) {
+func (c *Caller) queryDirectory(ctx context.Context, target string) (directoryAnswer, error) {
 	var answer directoryAnswer
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
@@ -84,25 +86,26 @@
 		return answer, err
 	}
 	if len(answer.Addrs) == 0 {
-		return answer, fmt.Errorf("the directory named no address")
+		return answer, fmt.Errorf("the directory returned no addresses")
 	}
 	return answer, nil
 }
 
-// Request is one request of a caller.
+// Request describes a request to send.
 type Request struct {
 	ID     string
 	Method string
 	Path   string
 	Body   string
-	// Model, Prefix and Tokens are as in the headers of the same meaning.
+	// Model, Prefix and Tokens are the values of the headers with these names in package
+	// wire.
 	Model    string
 	Prefix   string
 	Tokens   string
 	Deadline time.Duration
 }
 
-// Send sends a request to one of the addresses.
+// Send sends a request to a random one of the resolved addresses.
 func (c *Caller) Send(ctx context.Context, r Request) (Answer, error) {
 	addresses, err := c.Resolve(ctx)
 	if err != nil {
@@ -111,7 +114,8 @@
 	return c.SendTo(ctx, addresses[rand.IntN(len(addresses))], r)
 }
 
-// KeepConnections gives the caller connections of its own, which it keeps.
+// KeepConnections gives the caller its own pool of keep-alive connections, instead of the
+// default transport that callers share.
 func (c *Caller) KeepConnections() { c.client.Transport = &http.Transport{} }
 
 // SendTo sends a request to an address.
@@ -121,7 +125,7 @@
 		return Answer{}, err
 	}
 	req.Host = c.HostName
-	c.headers(req.Header, r)
+	c.setHeaders(req.Header, r)
 	resp, err := c.client.Do(req)
 	if err != nil {
 		return Answer{}, err
@@ -132,7 +136,7 @@
 	return Answer{resp.StatusCode, resp.Header, string(body), time.Duration(after * float64(time.Second)), err == nil}, nil
 }
 
-func (c *Caller) headers(h http.Header, r Request) {
+func (c *Caller) setHeaders(h http.Header, r Request) {
 	for name, value := range map[string]string{
 		wire.Key: c.Key, wire.Attempt: r.ID, wire.Model: r.Model,
 		wire.Prefix: r.Prefix, wire.Tokens: r.Tokens,
--- a/test/standin/engine/engine.go
+++ b/test/standin/engine/engine.go
@@ -1,6 +1,6 @@
-// Package engine is a stand-in for a backend server of the platform: a model
-// engine with a prefix cache, weights and orders, or a plain service. It counts
-// what ran, so that tests can hold the router to its word.
+// Package engine is a stand-in for a backend server: a model engine with a prefix cache,
+// weights and load commands, or a plain service. It records which requests ran, so that
+// tests can check the router's guarantees.
 package engine
 
 import (
@@ -17,49 +17,50 @@
 	"github.com/briarlink/briarlink/test/standin/wire"
 )
 
-// Options describe a backend server.
+// Options configure a backend server.
 type Options struct {
-	// ID names the server, Started this start of it, in Unix milliseconds; 0 is not
-	// told.
+	// ID identifies the server. Started is the start time of this incarnation in Unix
+	// milliseconds; 0 is not reported.
 	ID      string
 	Started int64
 	Service string
 	Address string
 	Zone    string
 	Slots   int
-	// Software is the version of the server's software, "v1" if empty. With Failing it fails
-	// all that it runs.
+	// Software is the version of the server's software, "v1" if empty. With Failing the
+	// server answers 500 to every request that it runs.
 	Software string
 	Failing  bool
 	// Model is empty for a plain service.
 	Model string
-	// Events is the number of events of a stream, Pace the pause between them.
+	// Events is the number of events in a stream, and Pace the pause between them.
 	Events int
 	Pace   time.Duration
-	// LoadTime is how long new weights take.
+	// LoadTime is the time that it takes to load new weights.
 	LoadTime time.Duration
-	// OnRun, OnFault and OnOrder are told of each run, of each request that a fault
-	// spoils, and of each order that is accepted; they may be nil.
+	// OnRun is called for each run of a request, OnFault for each request that gets a
+	// fault, and OnOrder for each accepted load command; they may be nil.
 	OnRun   func(id string, h http.Header)
 	OnFault func(id string)
 	OnOrder func(holder string, fence int64)
-	// OnTurnedAway is told of each request that is turned away, and of how long its sender
-	// is asked to back off; it may be nil.
+	// OnTurnedAway is called for each request that is rejected, with the backoff that its
+	// sender is asked for; it may be nil.
 	OnTurnedAway func(id string, left time.Duration)
-	// OnCrash is told that a request with a PoisonBody has begun to run: the server is to
-	// break every connection and to be gone for a while. Without it such requests run.
+	// OnCrash is called when a request with a PoisonBody begins to run. It must break every
+	// connection of the server and make it unreachable for a while. If it is nil, such
+	// requests run as others do.
 	OnCrash func()
 }
 
-// PoisonBody begins the body of a request that crashes each server that runs it.
+// PoisonBody is the prefix of the body of a request that crashes each server that runs it.
 const PoisonBody = "crash the server:"
 
-// Fault is what the server does wrong with its next request.
+// Fault is a fault that the server injects into a request.
 type Fault string
 
 // Faults of a server.
 const (
-	// Refuse answers 503 and says that the request has not run.
+	// Refuse answers 503 with the header that the request has not run.
 	Refuse Fault = "refuse"
 	// Fail answers 500 after running.
 	Fail Fault = "fail"
@@ -67,72 +68,72 @@
 	Cut Fault = "cut"
 	// Unsealed answers without the server's seal.
 	Unsealed Fault = "unsealed"
-	// Lose runs the request and gives no answer, on an open connection.
+	// Lose runs the request and never answers, while the connection stays open.
 	Lose Fault = "lose"
 )
 
-// Engine is safe for concurrent use.
+// Engine is a backend server. It is safe for concurrent use.
 type Engine struct {
 	Options
 
 	mu      sync.Mutex
 	version int64
 	loading bool
-	orders  int64
-	faults  []Fault
-	// ran counts the runs of each request by its ID.
-	ran    map[string]int
+	// orderSeq counts the accepted load commands.
+	orderSeq int64
+	faults   []Fault
+	// runs counts the runs of each request by its ID.
+	runs   map[string]int
 	cached map[string]bool
 	events [][]any
-	// leaving is told in every answer. Until busyUntil requests are turned away, and their
-	// sender is asked to back off until then.
-	leaving   bool
-	busyUntil time.Time
-	arrived   int
+	// With leaving set, every answer has a leave notice. Until rejectUntil requests are
+	// rejected, and their senders are asked to back off until then.
+	leaving     bool
+	rejectUntil time.Time
+	arrived     int
 }
 
-// New returns a server with weights version 1.
+// New returns a server that has loaded weights version 1.
 func New(o Options) *Engine {
-	return &Engine{Options: o, version: 1, ran: map[string]int{}, cached: map[string]bool{}}
+	return &Engine{Options: o, version: 1, runs: map[string]int{}, cached: map[string]bool{}}
 }
 
-// Next makes the server do these faults, one a request.
+// Next injects these faults into the next requests, one each.
 func (e *Engine) Next(faults ...Fault) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.faults = append(e.faults, faults...)
 }
 
-// Leave makes the server say in every answer that it leaves. It serves on.
+// Leave makes the server send a leave notice in every answer. It continues to serve.
 func (e *Engine) Leave() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.leaving = true
 }
 
-// TurnAway makes the server turn requests away for a while, and ask to back off until its
-// end.
+// TurnAway makes the server reject requests for the duration, with a backoff until its end.
 func (e *Engine) TurnAway(d time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.busyUntil = time.Now().Add(d)
+	e.rejectUntil = time.Now().Add(d)
 }
 
-// Arrived returns how many requests have come, turned away or not.
+// Arrived returns the number of requests that have arrived, including rejected ones.
 func (e *Engine) Arrived() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.arrived
 }
 
-// Ran returns how often a request ran here.
+// Ran returns how often the server ran a request.
 func (e *Engine) Ran(id string) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.ran[id]
+	return e.runs[id]
 }
 
-// Version returns the weights that the server holds.
+// Version returns the version of the loaded weights.
 func (e *Engine) Version() int64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -157,7 +158,7 @@
 	Born       int64 `json:"born,omitempty"`
 }
 
-// Register writes the server's entry to the store through put.
+// Register writes the server's entry to the store, with put.
 func (e *Engine) Register(put func(key string, entry any) error, draining bool) error {
 	e.mu.Lock()
 	reg := registration{Service: e.Service, Addr: e.Address, Zone: e.Zone, Version: cmp.Or(e.Software, "v1"), Slots: e.Slots, State: "ready", Born: e.Started}
@@ -171,7 +172,7 @@
 	return put(e.ID, reg)
 }
 
-// Handler serves the server's calls.
+// Handler returns the handler of requests and of the hosts' control calls.
 func (e *Engine) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /-/report", e.report)
@@ -189,15 +190,18 @@
 	})
 }
 
-// arrives counts a request that has come, and returns for how long none is wanted.
-func (e *Engine) arrives() time.Duration {
+// recordArrival counts an arrived request, and returns the requested backoff; 0 or less
+// means that the request is not rejected.
+func (e *Engine) recordArrival() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.arrived++
-	return time.Until(e.busyUntil)
+	return time.Until(e.rejectUntil)
 }
 
-func (e *Engine) expected(w http.ResponseWriter, r *http.Request) bool {
+// checkExpected reports whether the request is meant for this server or for any. If not,
+// it answers 421.
+func (e *Engine) checkExpected(w http.ResponseWriter, r *http.Request) bool {
 	want := r.Header.Get(wire.ExpectReplica)
 	if want == "" || want == e.ID {
 		return true
@@ -207,7 +211,8 @@
 	return false
 }
 
-func (e *Engine) take() Fault {
+// nextFault removes and returns the fault for the current request, "" if none.
+func (e *Engine) nextFault() Fault {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if len(e.faults) == 0 && e.Failing {
@@ -222,7 +227,7 @@
 }
 
 func (e *Engine) serve(w http.ResponseWriter, r *http.Request) {
-	if !e.expected(w, r) {
+	if !e.checkExpected(w, r) {
 		return
 	}
 	body, err := io.ReadAll(r.Body)
@@ -231,12 +236,12 @@
 	}
 	id := r.Header.Get(wire.Attempt)
 	w.Header().Set(wire.Attempt, id)
-	if left := e.arrives(); left > 0 {
+	if backoff := e.recordArrival(); backoff > 0 {
 		if e.OnTurnedAway != nil {
-			e.OnTurnedAway(id, left)
+			e.OnTurnedAway(id, backoff)
 		}
 		w.Header().Set(wire.NotRun, "1")
-		w.Header().Set("Retry-After", strconv.FormatFloat(left.Seconds(), 'f', 3, 64))
+		w.Header().Set("Retry-After", strconv.FormatFloat(backoff.Seconds(), 'f', 3, 64))
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
@@ -245,7 +250,7 @@
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
-	fault := e.take()
+	fault := e.nextFault()
 	if fault != "" && e.OnFault != nil {
 		e.OnFault(id)
 	}
@@ -254,7 +259,7 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	e.run(r, id)
+	e.recordRun(r, id)
 	if e.OnCrash != nil && strings.HasPrefix(string(body), PoisonBody) {
 		e.OnCrash()
 		panic(http.ErrAbortHandler)
@@ -271,10 +276,10 @@
 		return
 	}
 	if e.Model == "" {
-		e.whole(w, fault, body)
+		e.serveBuffered(w, fault, body)
 		return
 	}
-	e.stream(w, r, fault)
+	e.serveStream(w, r, fault)
 }
 
 func (e *Engine) isLoading() bool {
@@ -283,17 +288,17 @@
 	return e.loading
 }
 
-// run counts the run and caches the shared parts of the prompt.
-func (e *Engine) run(r *http.Request, id string) {
+// recordRun counts a run and caches the prefix blocks of the prompt.
+func (e *Engine) recordRun(r *http.Request, id string) {
 	if e.OnRun != nil {
 		e.OnRun(id, r.Header)
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.ran[id]++
+	e.runs[id]++
 	salt := r.Header.Get(wire.Salt)
-	for _, part := range strings.Split(r.Header.Get(wire.Prefix), ",") {
-		name, tokens, ok := strings.Cut(part, ":")
+	for _, block := range strings.Split(r.Header.Get(wire.Prefix), ",") {
+		name, tokens, ok := strings.Cut(block, ":")
 		if !ok || e.cached[salt+"|"+name] {
 			continue
 		}
@@ -303,7 +308,7 @@
 	}
 }
 
-func (e *Engine) whole(w http.ResponseWriter, fault Fault, body []byte) {
+func (e *Engine) serveBuffered(w http.ResponseWriter, fault Fault, body []byte) {
 	answer := fmt.Sprintf("answer of %s to %d bytes", e.ID, len(body))
 	w.Header().Set("Content-Length", strconv.Itoa(len(answer)))
 	if fault == Cut {
@@ -313,10 +318,10 @@
 	_, _ = io.WriteString(w, answer)
 }
 
-// EventText returns the text of event n, which counts from 1.
+// EventText returns the text of the n-th event of a stream, where n starts at 1.
 func EventText(n int) string { return fmt.Sprintf("id: %d\ndata: token %d\n\n", n, n) }
 
-func (e *Engine) stream(w http.ResponseWriter, r *http.Request, fault Fault) {
+func (e *Engine) serveStream(w http.ResponseWriter, r *http.Request, fault Fault) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.Header().Set(wire.Weights, strconv.FormatInt(e.Version(), 10))
 	last, _ := strconv.Atoi(r.Header.Get("Last-Event-Id"))
@@ -348,11 +353,11 @@
 }
 
 func (e *Engine) report(w http.ResponseWriter, r *http.Request) {
-	if !e.expected(w, r) {
+	if !e.checkExpected(w, r) {
 		return
 	}
 	e.mu.Lock()
-	answer := reportAnswer{"colocated", []model{{e.Model, e.version}}, e.loading, e.orders, e.Started}
+	answer := reportAnswer{"colocated", []model{{e.Model, e.version}}, e.loading, e.orderSeq, e.Started}
 	e.mu.Unlock()
 	writeJSON(w, http.StatusOK, answer)
 }
@@ -367,7 +372,7 @@
 }
 
 func (e *Engine) order(w http.ResponseWriter, r *http.Request) {
-	if !e.expected(w, r) {
+	if !e.checkExpected(w, r) {
 		return
 	}
 	var o orderBody
@@ -380,20 +385,20 @@
 	switch {
 	case o.Version == e.version:
 		w.WriteHeader(http.StatusOK)
-	case e.loading || o.Precondition != nil && *o.Precondition != e.orders:
+	case e.loading || o.Precondition != nil && *o.Precondition != e.orderSeq:
 		w.WriteHeader(http.StatusConflict)
 	default:
 		if e.OnOrder != nil {
 			e.OnOrder(o.Holder, o.Fence)
 		}
-		e.orders++
+		e.orderSeq++
 		e.loading = true
-		time.AfterFunc(e.LoadTime, func() { e.loaded(o.Version) })
+		time.AfterFunc(e.LoadTime, func() { e.finishLoading(o.Version) })
 		w.WriteHeader(http.StatusAccepted)
 	}
 }
 
-func (e *Engine) loaded(version int64) {
+func (e *Engine) finishLoading(version int64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.version = version
@@ -408,8 +413,8 @@
 	Events    [][]any
 }
 
-// eventsPoll is how often a waiting call looks for events.
-const eventsPoll = 10 * time.Millisecond
+// eventsPollInterval is how often a waiting call checks for new events.
+const eventsPollInterval = 10 * time.Millisecond
 
 func (e *Engine) kvEvents(w http.ResponseWriter, r *http.Request) {
 	since, _ := strconv.Atoi(r.URL.Query().Get("Since"))
@@ -429,7 +434,7 @@
 		select {
 		case <-r.Context().Done():
 			return
-		case <-time.After(eventsPoll):
+		case <-time.After(eventsPollInterval):
 		}
 	}
 }
@@ -437,6 +442,6 @@
 func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// A caller that has left does not need its answer.
+	// An error means that the caller has disconnected and needs no answer.
 	_ = json.NewEncoder(w).Encode(v)
 }
--- a/test/standin/main.go
+++ b/test/standin/main.go
@@ -1,6 +1,6 @@
-// Command standin runs small stand-ins for what the system meets on its
-// platform: the metadata store, backend servers, operators and callers. It is
-// never linked into the product.
+// Command standin runs stand-ins for the parts of the platform that hosts interact with:
+// the metadata store, backend servers, operators and callers. It is not part of the
+// product.
 package main
 
 import (
@@ -24,17 +24,17 @@
 const (
 	headerTimeout = 10 * time.Second
 	callTimeout   = 5 * time.Second
-	// heartbeat is how often a server renews its entry.
+	// heartbeat is the interval at which a server renews its entry in the store.
 	heartbeat = 1200 * time.Millisecond
-	// retryPause follows an entry that was not written.
+	// retryPause is the pause after a failed attempt to write the entry.
 	retryPause = 50 * time.Millisecond
 )
 
 type cli struct {
 	Store  storeCmd  `cmd:"" help:"Run the metadata store."`
 	Engine engineCmd `cmd:"" help:"Run a model engine, or a plain service without --model."`
-	Put    putCmd    `cmd:"" help:"Write a record of the operators: a key and a file with its value."`
-	Call   callCmd   `cmd:"" help:"Ask the directory, send one request, print the answer."`
+	Put    putCmd    `cmd:"" help:"Write an operators' record: a key and a file with its value."`
+	Call   callCmd   `cmd:"" help:"Look up a host in the directory, send it one request, and print the answer."`
 }
 
 func listen(address string, h http.Handler) error {
@@ -55,7 +55,7 @@
 	Service  string        `required:"" help:"Service of the server."`
 	Zone     string        `default:"valle-central-1" help:"Availability zone."`
 	Model    string        `help:"Model served; empty for a plain service."`
-	Events   int           `default:"8" help:"Events of a stream."`
+	Events   int           `default:"8" help:"Number of events in a stream."`
 	Pace     time.Duration `default:"15ms" help:"Pause between events."`
 	LoadTime time.Duration `default:"400ms" help:"Time to load weights."`
 }
@@ -69,7 +69,7 @@
 	go func() {
 		for {
 			pause := heartbeat
-			if err := e.Register(putTo(c.Store, platform.ReplicaTopic), false); err != nil {
+			if err := e.Register(storeWriter(c.Store, platform.ReplicaTopic), false); err != nil {
 				fmt.Fprintln(os.Stderr, err)
 				pause = retryPause
 			}
@@ -79,8 +79,8 @@
 	return listen(c.Listen, e.Handler())
 }
 
-// putTo returns a function that writes records of a topic to a store.
-func putTo(address, topic string) func(key string, entry any) error {
+// storeWriter returns a function that writes records of a topic to a store.
+func storeWriter(address, topic string) func(key string, entry any) error {
 	client := platform.NewStore(address, callTimeout)
 	return func(key string, entry any) error {
 		value, err := json.Marshal(entry)
@@ -104,7 +104,7 @@
 	if err != nil {
 		return err
 	}
-	return putTo(c.Store, platform.OperatorTopic)(c.Key, json.RawMessage(value))
+	return storeWriter(c.Store, platform.OperatorTopic)(c.Key, json.RawMessage(value))
 }
 
 type callCmd struct {
@@ -112,12 +112,12 @@
 	Host      string   `required:"" help:"Host name of the request."`
 	Key       string   `help:"API key."`
 	Zone      string   `default:"valle-central-1" help:"Availability zone of the caller."`
-	Method    string   `default:"POST" help:"Method."`
+	Method    string   `default:"POST" help:"HTTP method."`
 	Path      string   `arg:"" help:"Path of the request."`
-	Model     string   `help:"Model asked for."`
-	Prefix    string   `help:"Parts of the prompt, as ID:TOKENS,..."`
-	Tokens    string   `help:"Prompt and output tokens, as IN,OUT."`
-	Body      string   `default:"" help:"Body."`
+	Model     string   `help:"Model of the request."`
+	Prefix    string   `help:"Prefix blocks of the prompt, as ID:TOKENS,..."`
+	Tokens    string   `help:"Numbers of prompt and output tokens, as IN,OUT."`
+	Body      string   `default:"" help:"Body of the request."`
 }
 
 // Run implements the call command.
--- a/test/standin/store/store.go
+++ b/test/standin/store/store.go
@@ -1,6 +1,6 @@
-// Package store is a stand-in for the platform's metadata store: topics with
-// conditional appends, long reads, the newest record of each key, and the faults
-// that its callers must bear.
+// Package store is a stand-in for the platform's metadata store: topics with conditional
+// appends, long polls and the newest record of each key. It injects the faults that its
+// callers must tolerate.
 package store
 
 import (
@@ -18,35 +18,36 @@
 	"github.com/briarlink/briarlink/platform"
 )
 
-// Mode is how the store treats calls.
+// Mode is how the store handles calls.
 type Mode int
 
 // Modes of the store.
 const (
-	// Up serves.
+	// Up serves calls.
 	Up Mode = iota
-	// Down answers 503 and does nothing.
+	// Down answers 503 without executing the call.
 	Down
-	// Silent never answers and does nothing.
+	// Silent never answers and doesn't execute the call.
 	Silent
-	// Lossy does what an append asks for and loses the answer.
+	// Lossy executes appends but breaks the connection instead of answering them.
 	Lossy
 )
 
-// Store is safe for concurrent use.
+// Store is an in-memory store. It is safe for concurrent use.
 type Store struct {
 	mu     sync.Mutex
 	mode   Mode
 	topics map[string]*topic
-	// changed is closed and replaced whenever a record is added or the mode changes.
+	// changed is closed and replaced whenever a record is added, records are trimmed or the
+	// mode changes.
 	changed chan struct{}
 }
 
 type topic struct {
 	records []platform.Record
-	// first is the first offset that is kept.
+	// first is the offset of the first record that is kept.
 	first int64
-	// newest is kept for ever.
+	// newest holds the newest record of each key, also once it is trimmed from records.
 	newest map[string]platform.Record
 }
 
@@ -55,27 +56,28 @@
 // New returns an empty store.
 func New() *Store { return &Store{topics: map[string]*topic{}, changed: make(chan struct{})} }
 
-// SetMode changes how calls are treated from now on.
+// SetMode changes how calls are handled, including pending reads.
 func (s *Store) SetMode(m Mode) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.mode = m
-	s.wake()
+	s.notifyReaders()
 }
 
-func (s *Store) wake() {
+func (s *Store) notifyReaders() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// Put writes a record as operators and backend servers do, whatever the mode.
+// Put writes a record in any mode, on behalf of operators and backend servers. An empty
+// value removes the key.
 func (s *Store) Put(name, key string, value []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.add(name, platform.Record{Key: key, Value: value, Removed: len(value) == 0})
 }
 
-// PutJSON writes a record whose value is encoded.
+// PutJSON writes a record with the JSON encoding of a value.
 func (s *Store) PutJSON(name, key string, value any) error {
 	data, err := json.Marshal(value)
 	if err != nil {
@@ -85,7 +87,8 @@
 	return nil
 }
 
-// Trim drops the records before an offset; the newest of each key stay known.
+// Trim drops the records before an offset. The newest record of each key can still be
+// listed.
 func (s *Store) Trim(name string, before int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -94,10 +97,10 @@
 		t.records = t.records[1:]
 		t.first++
 	}
-	s.wake()
+	s.notifyReaders()
 }
 
-// TrimAll drops every record of a topic but the newest of each key.
+// TrimAll trims all records of a topic.
 func (s *Store) TrimAll(name string) {
 	s.mu.Lock()
 	end := s.topic(name).end()
@@ -123,11 +126,11 @@
 	} else {
 		t.newest[rec.Key] = rec
 	}
-	s.wake()
+	s.notifyReaders()
 	return rec.Offset
 }
 
-// Handler serves the store's calls.
+// Handler returns the handler of the store's calls.
 func (s *Store) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /-/log-append", s.append)
@@ -178,7 +181,8 @@
 	writeJSON(w, http.StatusOK, map[string]int64{"Offset": end, "End": end + int64(len(records))})
 }
 
-// decode reads length-prefixed records; in keyed topics a key comes first.
+// decode decodes length-prefixed records. In keyed topics a length-prefixed key precedes
+// the value.
 func decode(body []byte, keyed bool) ([]platform.Record, error) {
 	var out []platform.Record
 	for len(body) > 0 {
@@ -239,6 +243,7 @@
 	}
 }
 
+// page encodes the topic's end and first offset and the records from an offset on.
 func (s *Store) page(t *topic, from int64, keyed bool) []byte {
 	out := binary.BigEndian.AppendUint64(nil, uint64(t.end()))
 	out = binary.BigEndian.AppendUint64(out, uint64(t.first))
@@ -262,7 +267,7 @@
 	End   int64
 }
 
-// pageItems is small, so that several pages are read.
+// pageItems is small, so that tests read several pages.
 const pageItems = 7
 
 func (s *Store) newest(w http.ResponseWriter, r *http.Request) {
@@ -291,6 +296,6 @@
 func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// A caller that has left does not need its answer.
+	// An error means that the caller has disconnected and needs no answer.
 	_ = json.NewEncoder(w).Encode(v)
 }
--- a/test/standin/wire/wire.go
+++ b/test/standin/wire/wire.go
@@ -1,8 +1,8 @@
-// Package wire names the headers of the platform's protocol for stand-ins and for
-// tests that play a caller or a backend server.
+// Package wire defines the headers of the platform's protocol, for stand-ins and for tests
+// that act as a caller or a backend server.
 package wire
 
-// Headers.
+// Names of headers.
 const (
 	Attempt       = "X-Briarlink-Attempt-Id"
 	Seal          = "X-Briarlink-Seal"
