--- a/test/ablation/main.go
+++ b/test/ablation/main.go
@@ -1,9 +1,9 @@
-// Command ablation plays days of a deployment with one mechanism switched off at a
-// time and prints what each is worth: the mean worth with all of them, less the mean
-// without it, over the same days and seeds. Plays that were made are kept in a file, so
-// that a long series can be stopped and gone on with.
+// Command ablation measures what each mechanism contributes to the score of a deployment.
+// It runs days of the deployment with one mechanism disabled at a time and prints the mean
+// score with all mechanisms minus the mean score without it, over the same days and seeds.
+// Finished runs are saved in a file, so that a long series can be interrupted and resumed.
 //
-// It is run in the repository:
+// Run it at the root of the repository:
 //
 //	go run ./test/ablation --bench BENCH --site SITE --day trouble-1 --day scale-1 --seeds 2
 package main
@@ -28,19 +28,20 @@
 )
 
 type options struct {
-	Bench   string        `required:"" type:"existingfile" help:"The users' bench."`
-	Site    string        `required:"" type:"existingfile" help:"The deployment's file."`
-	Day     []string      `required:"" help:"Days to play."`
-	Seeds   int           `default:"2" help:"Plays of each day, the first with the day's own seed."`
-	Jobs    int           `default:"4" help:"Plays at once."`
-	Without []string      `help:"Mechanisms to switch off, one at a time; all by default."`
-	NoCPU   bool          `name:"no-cpu" help:"Charge no processor time: a play then repeats, so that pairs differ by the mechanism alone."`
-	Plays   string        `default:"target/ablation.csv" help:"File of the plays made; those in it are not made again."`
-	For     time.Duration `default:"24h" help:"Begin no row of a seed after this long; the table shows what was played."`
+	Bench   string        `required:"" type:"existingfile" help:"Program of the users' bench."`
+	Site    string        `required:"" type:"existingfile" help:"File that describes the deployment."`
+	Day     []string      `required:"" help:"Days to run."`
+	Seeds   int           `default:"2" help:"Runs of each day, each with another seed; the first uses the day's own seed."`
+	Jobs    int           `default:"4" help:"Number of days to run in parallel."`
+	Without []string      `help:"Mechanisms to disable, one at a time; all by default."`
+	NoCPU   bool          `name:"no-cpu" help:"Don't charge CPU time. Runs are then reproducible, so that compared runs differ only by the mechanism."`
+	Plays   string        `default:"target/ablation.csv" help:"File of finished runs, which are not repeated."`
+	For     time.Duration `default:"24h" help:"Start no further row of a seed after this time; the table shows the finished runs."`
 }
 
-// firstSeed is the first of the seeds beside a day's own.
-const firstSeed = 7001
+// seedBase plus the number of a run, which counts from 0, is the seed of each run but the
+// first; that one uses the day's own seed.
+const seedBase = 7001
 
 func main() {
 	var o options
@@ -55,22 +56,22 @@
 	if _, err := mechanism.Parse(o.Without); err != nil {
 		return err
 	}
-	plays, err := readPlays(o.Plays)
+	runs, err := readRuns(o.Plays)
 	if err != nil {
 		return err
 	}
-	if plays, err = o.playMissing(plays); err != nil {
+	if runs, err = o.runMissing(runs); err != nil {
 		return err
 	}
-	for _, line := range table(plays) {
+	for _, line := range table(runs) {
 		fmt.Println(line)
 	}
 	return nil
 }
 
-// playMissing makes the plays that are not there yet: every row with one seed before
-// any row with the next.
-func (o *options) playMissing(plays []play) ([]play, error) {
+// runMissing makes the runs that the file doesn't have yet: all rows with one seed before
+// any row with the next seed.
+func (o *options) runMissing(runs []dayRun) ([]dayRun, error) {
 	dir, err := copySources()
 	if err != nil {
 		return nil, err
@@ -79,25 +80,25 @@
 	stop := time.Now().Add(o.For)
 	for seed := range o.Seeds {
 		for _, without := range o.rows() {
-			missing := o.missing(plays, without, seed)
+			missing := o.missing(runs, without, seed)
 			if len(missing) == 0 {
 				continue
 			}
 			if time.Now().After(stop) {
-				return plays, nil
+				return runs, nil
 			}
-			made, err := o.playRow(dir, missing)
+			finished, err := o.runRow(dir, missing)
 			if err != nil {
 				return nil, err
 			}
-			plays = append(plays, made...)
-			fmt.Fprintf(os.Stderr, "%s seed %d without %q: played\n", o.siteName(), seed, without)
+			runs = append(runs, finished...)
+			fmt.Fprintf(os.Stderr, "%s seed %d without %q: done\n", o.siteName(), seed, without)
 		}
 	}
-	return plays, nil
+	return runs, nil
 }
 
-// rows are the mechanisms to switch off, after nothing.
+// rows returns the mechanisms to disable, preceded by the row that disables none.
 func (o *options) rows() []mechanism.Name {
 	names := []mechanism.Name{nothing}
 	if len(o.Without) == 0 {
@@ -113,20 +114,21 @@
 	return strings.TrimSuffix(filepath.Base(o.Site), filepath.Ext(o.Site))
 }
 
-func (o *options) missing(plays []play, without mechanism.Name, seed int) []play {
-	var missing []play
+// missing returns a row's runs with a seed that are not among the finished runs.
+func (o *options) missing(runs []dayRun, without mechanism.Name, seed int) []dayRun {
+	var missing []dayRun
 	for _, day := range o.Day {
-		p := play{setting: setting{site: o.siteName(), day: day, seed: seed}, without: without}
-		if !slices.ContainsFunc(plays, p.same) {
-			missing = append(missing, p)
+		d := dayRun{setting: setting{site: o.siteName(), day: day, seed: seed}, without: without}
+		if !slices.ContainsFunc(runs, d.same) {
+			missing = append(missing, d)
 		}
 	}
 	return missing
 }
 
-// playRow makes plays without one mechanism and keeps them.
-func (o *options) playRow(dir string, row []play) ([]play, error) {
-	if err := switchOff(dir, row[0].without); err != nil {
+// runRow makes the runs without one mechanism and saves them.
+func (o *options) runRow(dir string, row []dayRun) ([]dayRun, error) {
+	if err := disable(dir, row[0].without); err != nil {
 		return nil, err
 	}
 	if out, err := o.command(dir, "build").CombinedOutput(); err != nil {
@@ -135,45 +137,46 @@
 	var group errgroup.Group
 	group.SetLimit(o.Jobs)
 	for i := range row {
-		group.Go(func() error { return o.one(dir, &row[i]) })
+		group.Go(func() error { return o.runDay(dir, &row[i]) })
 	}
-	playErr := group.Wait()
-	if err := keepJournal(dir); err != nil {
+	runErr := group.Wait()
+	if err := copyJournal(dir); err != nil {
 		return nil, err
 	}
-	if playErr != nil {
-		return nil, playErr
+	if runErr != nil {
+		return nil, runErr
 	}
-	return row, appendPlays(o.Plays, row)
+	return row, appendRuns(o.Plays, row)
 }
 
-// report is what the bench says of a day.
+// report is the bench's report about a day.
 type report struct {
-	// G is the worth.
-	G      float64
+	// G is the score.
+	G float64
+	// Breaks has the names of the violated rules as keys.
 	Breaks map[string]any
 }
 
-// one makes a play and notes its outcome in it.
-func (o *options) one(dir string, p *play) error {
-	file := filepath.Join(dir, "target", fmt.Sprintf("report-%s-%s-%d.json", p.without, p.day, p.seed))
-	out, runErr := o.command(dir, o.arguments(p, file)...).CombinedOutput()
+// runDay runs a day and stores its outcome in the run.
+func (o *options) runDay(dir string, d *dayRun) error {
+	file := filepath.Join(dir, "target", fmt.Sprintf("report-%s-%s-%d.json", d.without, d.day, d.seed))
+	out, benchErr := o.command(dir, o.arguments(d, file)...).CombinedOutput()
 	data, err := os.ReadFile(file)
 	if err != nil {
-		return errors.Wrapf(err, "%s was not played (%v): %.400s", p.day, runErr, out)
+		return errors.Wrapf(err, "%s has no report (%v): %.400s", d.day, benchErr, out)
 	}
 	var r report
 	if err := json.Unmarshal(data, &r); err != nil {
-		return errors.Wrap(err, "read a report")
+		return errors.Wrap(err, "decode the report")
 	}
-	p.worth, p.broken = r.G, slices.Sorted(maps.Keys(r.Breaks))
+	d.score, d.violations = r.G, slices.Sorted(maps.Keys(r.Breaks))
 	return nil
 }
 
-func (o *options) arguments(p *play, file string) []string {
-	args := []string{"run", o.Site, p.day, "--report", file, "--why", "Ablation, without: " + string(p.without)}
-	if p.seed > 0 {
-		args = append(args, "--seed", strconv.Itoa(firstSeed+p.seed))
+func (o *options) arguments(d *dayRun, file string) []string {
+	args := []string{"run", o.Site, d.day, "--report", file, "--why", "Ablation, without: " + string(d.without)}
+	if d.seed > 0 {
+		args = append(args, "--seed", strconv.Itoa(seedBase+d.seed))
 	}
 	if o.NoCPU {
 		args = append(args, "--no-cpu")
@@ -187,8 +190,8 @@
 	return cmd
 }
 
-// copySources returns a copy of the sources as committed. All rows use it one after
-// another, as sources in another folder would be compiled again.
+// copySources clones the committed sources into a temporary folder. All rows use this one
+// folder in turn, because sources in another folder would be compiled again.
 func copySources() (string, error) {
 	dir, err := os.MkdirTemp("", "ablation")
 	if err != nil {
@@ -200,9 +203,8 @@
 	return dir, nil
 }
 
-// switchOff puts the flag that switches the mechanism off into the deploy file as
-// committed.
-func switchOff(dir string, without mechanism.Name) error {
+// disable restores the committed deploy file and adds the flag that disables the mechanism.
+func disable(dir string, without mechanism.Name) error {
 	if out, err := exec.Command("git", "-C", dir, "checkout", "-q", "deploy").CombinedOutput(); err != nil {
 		return errors.Wrapf(err, "restore the deploy file: %s", out)
 	}
@@ -229,16 +231,16 @@
 	return strings.Replace(deploy, serve, serve+" --without="+string(without), 1), nil
 }
 
-// keepJournal copies the entries of the plays, and the files that they name, to the
-// repository's journal.
-func keepJournal(dir string) error {
+// copyJournal copies the journal entries of the runs, and the files that they refer to,
+// into the repository's journal.
+func copyJournal(dir string) error {
 	for _, pattern := range []string{"*.json", "blobs/*"} {
 		files, err := filepath.Glob(filepath.Join(dir, "journal", pattern))
 		if err != nil {
 			return errors.Wrap(err, "find the journal's entries")
 		}
 		for _, from := range files {
-			if err := keepFile(from, filepath.Join("journal", filepath.Dir(pattern), filepath.Base(from))); err != nil {
+			if err := copyFile(from, filepath.Join("journal", filepath.Dir(pattern), filepath.Base(from))); err != nil {
 				return err
 			}
 		}
@@ -246,16 +248,16 @@
 	return nil
 }
 
-// keepFile copies a file unless it is there already.
-func keepFile(from, to string) error {
+// copyFile copies a file unless the destination exists.
+func copyFile(from, to string) error {
 	if _, err := os.Stat(to); err == nil {
 		return nil
 	}
 	data, err := os.ReadFile(from)
 	if err != nil {
-		return errors.Wrap(err, "read an entry")
+		return errors.Wrap(err, "read a journal entry")
 	}
-	return errors.Wrap(os.WriteFile(to, data, 0o600), "keep an entry")
+	return errors.Wrap(os.WriteFile(to, data, 0o600), "write a journal entry")
 }
 
 func mustGetwd() string {
--- a/test/ablation/plays.go
+++ b/test/ablation/plays.go
@@ -16,120 +16,123 @@
 	"github.com/briarlink/briarlink/internal/mechanism"
 )
 
-// nothing is the row with all mechanisms.
+// nothing names the row that disables no mechanism.
 const nothing mechanism.Name = ""
 
-// setting is what two plays that are compared have in common.
+// setting is what two compared runs have in common.
 type setting struct {
 	site, day string
-	// seed counts from 0, the day's own.
+	// seed is the number of the run; 0 stands for the day's own seed.
 	seed int
 }
 
-type play struct {
+// dayRun is a run of a day and its outcome.
+type dayRun struct {
 	setting
 	without mechanism.Name
-	worth   float64
-	// broken names the rules that were broken.
-	broken []string
+	score   float64
+	// violations are the names of the violated rules.
+	violations []string
 }
 
-// same reports whether it is a play of the same setting without the same mechanism.
-func (p play) same(other play) bool {
-	return p.setting == other.setting && p.without == other.without
+// same reports whether both runs have the same setting and the same disabled mechanism.
+func (d dayRun) same(other dayRun) bool {
+	return d.setting == other.setting && d.without == other.without
 }
 
-// record is the play as a line of the file: site, mechanism, day, seed, worth, rules.
-func (p play) record() []string {
-	worth := strconv.FormatFloat(p.worth, 'f', -1, 64)
-	return []string{p.site, string(p.without), p.day, strconv.Itoa(p.seed), worth, strings.Join(p.broken, " ")}
+// record returns the run as a line of the file: site, disabled mechanism, day, seed, score
+// and violated rules.
+func (d dayRun) record() []string {
+	score := strconv.FormatFloat(d.score, 'f', -1, 64)
+	return []string{d.site, string(d.without), d.day, strconv.Itoa(d.seed), score, strings.Join(d.violations, " ")}
 }
 
-func parsePlay(record []string) (play, error) {
+func parseRun(record []string) (dayRun, error) {
 	seed, err := strconv.Atoi(record[3])
 	if err != nil {
-		return play{}, errors.Wrap(err, "read a seed")
+		return dayRun{}, errors.Wrap(err, "parse the seed of a run")
 	}
-	worth, err := strconv.ParseFloat(record[4], 64)
+	score, err := strconv.ParseFloat(record[4], 64)
 	if err != nil {
-		return play{}, errors.Wrap(err, "read a worth")
+		return dayRun{}, errors.Wrap(err, "parse the score of a run")
 	}
-	return play{
+	return dayRun{
 		setting: setting{site: record[0], day: record[2], seed: seed},
-		without: mechanism.Name(record[1]), worth: worth, broken: strings.Fields(record[5]),
+		without: mechanism.Name(record[1]), score: score, violations: strings.Fields(record[5]),
 	}, nil
 }
 
-// readPlays reads a file of plays; one that does not exist has none.
-func readPlays(file string) ([]play, error) {
+// readRuns reads the file of finished runs. A missing file has none.
+func readRuns(file string) ([]dayRun, error) {
 	f, err := os.Open(file)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
 	}
 	if err != nil {
-		return nil, errors.Wrap(err, "open the plays")
+		return nil, errors.Wrap(err, "open the file of runs")
 	}
 	defer f.Close()
 	r := csv.NewReader(f)
-	r.FieldsPerRecord = len(play{}.record())
+	r.FieldsPerRecord = len(dayRun{}.record())
 	records, err := r.ReadAll()
 	if err != nil {
-		return nil, errors.Wrap(err, "read the plays")
+		return nil, errors.Wrap(err, "read the file of runs")
 	}
-	plays := make([]play, len(records))
+	runs := make([]dayRun, len(records))
 	for i, record := range records {
-		if plays[i], err = parsePlay(record); err != nil {
+		if runs[i], err = parseRun(record); err != nil {
 			return nil, err
 		}
 	}
-	return plays, nil
+	return runs, nil
 }
 
-func appendPlays(file string, plays []play) error {
+func appendRuns(file string, runs []dayRun) error {
 	if err := os.MkdirAll(filepath.Dir(file), 0o700); err != nil {
-		return errors.Wrap(err, "make a folder for the plays")
+		return errors.Wrap(err, "make a folder for the file of runs")
 	}
 	f, err := os.OpenFile(file, os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o600)
 	if err != nil {
-		return errors.Wrap(err, "open the plays")
+		return errors.Wrap(err, "open the file of runs")
 	}
 	defer f.Close()
 	w := csv.NewWriter(f)
-	for _, p := range plays {
-		if err := w.Write(p.record()); err != nil {
-			return errors.Wrap(err, "keep a play")
+	for _, d := range runs {
+		if err := w.Write(d.record()); err != nil {
+			return errors.Wrap(err, "write a run")
 		}
 	}
 	w.Flush()
-	return errors.Wrap(w.Error(), "keep the plays")
+	return errors.Wrap(w.Error(), "write the runs")
 }
 
-// table returns a row of Markdown for every site and mechanism, in the order in which
-// they were first played. A play counts if its setting was also played with all mechanisms.
-func table(plays []play) []string {
+// table returns a Markdown table with a row for every site and mechanism, in the order of
+// their first runs. A run counts only if its setting was also run with all mechanisms. The
+// column "mean worth" is the mean score, and "worth" what the mechanism contributes to it.
+func table(runs []dayRun) []string {
 	lines := []string{
 		"| site | switched off | mean worth | worth | standard error | plays | rules broken |",
 		"|---|---|---|---|---|---|---|",
 	}
-	full := map[setting]play{}
+	full := map[setting]dayRun{}
 	type row struct {
 		site    string
 		without mechanism.Name
 	}
 	var rows []row
-	for _, p := range plays {
-		if p.without == nothing {
-			full[p.setting] = p
+	for _, d := range runs {
+		if d.without == nothing {
+			full[d.setting] = d
 		}
-		if r := (row{p.site, p.without}); !slices.Contains(rows, r) {
+		if r := (row{d.site, d.without}); !slices.Contains(rows, r) {
 			rows = append(rows, r)
 		}
 	}
 	for _, r := range rows {
 		var pairs []pair
-		for _, p := range plays {
-			if with, ok := full[p.setting]; ok && r == (row{p.site, p.without}) {
-				pairs = append(pairs, pair{with: with, less: p})
+		for _, d := range runs {
+			if with, ok := full[d.setting]; ok && r == (row{d.site, d.without}) {
+				pairs = append(pairs, pair{with: with, without: d})
 			}
 		}
 		if len(pairs) > 0 {
@@ -139,44 +142,45 @@
 	return lines
 }
 
-// pair is two plays of one setting, with all mechanisms and less one.
-type pair struct{ with, less play }
+// pair is two runs of the same setting, with all mechanisms and without one.
+type pair struct{ with, without dayRun }
 
+// line returns a row of the table.
 func line(site string, without mechanism.Name, pairs []pair) string {
 	sum := 0.0
-	var broken []string
+	var violations []string
 	for _, p := range pairs {
-		sum += p.less.worth
-		broken = append(broken, p.less.broken...)
+		sum += p.without.score
+		violations = append(violations, p.without.violations...)
 	}
 	cells := fmt.Sprintf("| %s | nothing | %.4f | | |", site, sum/float64(len(pairs)))
 	if without != nothing {
-		worth, se := difference(pairs)
-		cells = fmt.Sprintf("| %s | %s | %.4f | %+.4f | %.4f |", site, without, sum/float64(len(pairs)), worth, se)
+		score, se := difference(pairs)
+		cells = fmt.Sprintf("| %s | %s | %.4f | %+.4f | %.4f |", site, without, sum/float64(len(pairs)), score, se)
 	}
-	return fmt.Sprintf("%s %d | %s |", cells, len(pairs), counted(broken))
+	return fmt.Sprintf("%s %d | %s |", cells, len(pairs), countRules(violations))
 }
 
-// difference returns what a mechanism is worth, the mean over the pairs, and its
-// standard error, which needs two pairs.
+// difference returns the mean difference of the scores over the pairs, and its standard
+// error, which is NaN for fewer than two pairs.
 func difference(pairs []pair) (mean, se float64) {
 	n := float64(len(pairs))
 	for _, p := range pairs {
-		mean += (p.with.worth - p.less.worth) / n
+		mean += (p.with.score - p.without.score) / n
 	}
 	if len(pairs) < 2 {
 		return mean, math.NaN()
 	}
 	sum := 0.0
 	for _, p := range pairs {
-		d := p.with.worth - p.less.worth - mean
+		d := p.with.score - p.without.score - mean
 		sum += d * d
 	}
 	return mean, math.Sqrt(sum / (n - 1) / n)
 }
 
-// counted says how often each rule was broken.
-func counted(rules []string) string {
+// countRules returns how often each rule was violated, as text.
+func countRules(rules []string) string {
 	if len(rules) == 0 {
 		return "0"
 	}
--- a/test/ablation/plays_test.go
+++ b/test/ablation/plays_test.go
@@ -12,45 +12,45 @@
 	"github.com/briarlink/briarlink/internal/mechanism"
 )
 
-func made(day string, seed int, without mechanism.Name, worth float64, broken ...string) play {
-	return play{setting: setting{site: "north", day: day, seed: seed}, without: without, worth: worth, broken: broken}
+func testRun(day string, seed int, without mechanism.Name, score float64, violations ...string) dayRun {
+	return dayRun{setting: setting{site: "north", day: day, seed: seed}, without: without, score: score, violations: violations}
 }
 
-func TestPlaysAreKept(t *testing.T) {
+func TestRunsAreSaved(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "target", "plays.csv")
-	if plays, err := readPlays(file); err != nil || len(plays) != 0 {
-		t.Fatalf("no file: %v, %v", plays, err)
+	if runs, err := readRuns(file); err != nil || len(runs) != 0 {
+		t.Fatalf("no file: %v, %v", runs, err)
 	}
-	want := []play{made("quiet", 0, nothing, 0.6085), made("heavy", 1, mechanism.Holds, -0.25, "TWICE", "STALE")}
-	for _, p := range want {
-		if err := appendPlays(file, []play{p}); err != nil {
+	want := []dayRun{testRun("quiet", 0, nothing, 0.6085), testRun("heavy", 1, mechanism.Holds, -0.25, "TWICE", "STALE")}
+	for _, d := range want {
+		if err := appendRuns(file, []dayRun{d}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	got, err := readPlays(file)
-	if err != nil || len(got) != 2 || !got[0].same(want[0]) || got[0].worth != want[0].worth || len(got[0].broken) != 0 || !reflect.DeepEqual(got[1], want[1]) {
+	got, err := readRuns(file)
+	if err != nil || len(got) != 2 || !got[0].same(want[0]) || got[0].score != want[0].score || len(got[0].violations) != 0 || !reflect.DeepEqual(got[1], want[1]) {
 		t.Errorf("read %v, %v", got, err)
 	}
 }
 
-func TestDamagedPlaysAreRefused(t *testing.T) {
+func TestDamagedRunsAreRejected(t *testing.T) {
 	for _, line := range []string{"north,,quiet,0,0.5", "north,,quiet,first,0.5,", "north,,quiet,0,much,"} {
 		file := filepath.Join(t.TempDir(), "plays.csv")
 		if err := os.WriteFile(file, []byte(line+"\n"), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if plays, err := readPlays(file); err == nil {
-			t.Errorf("%q was read as %v", line, plays)
+		if runs, err := readRuns(file); err == nil {
+			t.Errorf("%q was read as %v", line, runs)
 		}
 	}
 }
 
 func TestTable(t *testing.T) {
-	got := table([]play{
-		made("quiet", 0, nothing, 0.5), made("heavy", 0, nothing, 0.7),
-		made("quiet", 0, mechanism.Holds, 0.4, "TWICE"), made("heavy", 0, mechanism.Holds, 0.5, "TWICE", "STALE"),
-		made("quiet", 0, mechanism.Affinity, 0.6),
-		made("quiet", 1, mechanism.Affinity, 0.1), // no play with all mechanisms to compare it with
+	got := table([]dayRun{
+		testRun("quiet", 0, nothing, 0.5), testRun("heavy", 0, nothing, 0.7),
+		testRun("quiet", 0, mechanism.Holds, 0.4, "TWICE"), testRun("heavy", 0, mechanism.Holds, 0.5, "TWICE", "STALE"),
+		testRun("quiet", 0, mechanism.Affinity, 0.6),
+		testRun("quiet", 1, mechanism.Affinity, 0.1), // has no run with all mechanisms to compare it with
 	})[2:]
 	want := []string{
 		"| north | nothing | 0.6000 | | | 2 | 0 |",
@@ -65,8 +65,8 @@
 func TestDifference(t *testing.T) {
 	pairs := make([]pair, 3)
 	for i, d := range []float64{0.1, 0.2, 0.6} {
-		pairs[i].with.worth = 1
-		pairs[i].less.worth = 1 - d
+		pairs[i].with.score = 1
+		pairs[i].without.score = 1 - d
 	}
 	mean, se := difference(pairs)
 	if math.Abs(mean-0.3) > 1e-9 || math.Abs(se-math.Sqrt(0.07/3)) > 1e-9 {
@@ -74,10 +74,10 @@
 	}
 }
 
-func TestMissingPlays(t *testing.T) {
+func TestMissingRuns(t *testing.T) {
 	o := &options{Site: "/sites/north.toml", Day: []string{"quiet", "heavy"}}
-	got := o.missing([]play{made("quiet", 0, mechanism.Holds, 0.4), made("heavy", 0, nothing, 0.4)}, mechanism.Holds, 0)
-	if len(got) != 1 || !got[0].same(made("heavy", 0, mechanism.Holds, 0)) {
+	got := o.missing([]dayRun{testRun("quiet", 0, mechanism.Holds, 0.4), testRun("heavy", 0, nothing, 0.4)}, mechanism.Holds, 0)
+	if len(got) != 1 || !got[0].same(testRun("heavy", 0, mechanism.Holds, 0)) {
 		t.Errorf("missing: %v", got)
 	}
 }
@@ -94,13 +94,13 @@
 
 func TestArguments(t *testing.T) {
 	o := &options{Site: "north.toml"}
-	p := made("quiet", 0, mechanism.Holds, 0)
-	if args := o.arguments(&p, "f"); slices.Contains(args, "--seed") || slices.Contains(args, "--no-cpu") {
-		t.Errorf("a day's own seed: %v", args)
+	d := testRun("quiet", 0, mechanism.Holds, 0)
+	if args := o.arguments(&d, "f"); slices.Contains(args, "--seed") || slices.Contains(args, "--no-cpu") {
+		t.Errorf("arguments with the day's own seed: %v", args)
 	}
-	o.NoCPU, p.seed = true, 1
-	if args := strings.Join(o.arguments(&p, "f"), " "); !strings.Contains(args, "--seed 7002") || !strings.Contains(args, "--no-cpu") {
-		t.Errorf("another seed: %v", args)
+	o.NoCPU, d.seed = true, 1
+	if args := strings.Join(o.arguments(&d, "f"), " "); !strings.Contains(args, "--seed 7002") || !strings.Contains(args, "--no-cpu") {
+		t.Errorf("arguments with another seed: %v", args)
 	}
 }
 
@@ -110,6 +110,6 @@
 		t.Errorf("%q, %v", got, err)
 	}
 	if _, err := withFlag(`run = "target/briarlink"`, mechanism.Holds); err == nil {
-		t.Error("a deploy file that does not serve was taken")
+		t.Error("a deploy file without the serve command was accepted")
 	}
 }
