--- a/test/fixedseed/fixedseed.go
+++ b/test/fixedseed/fixedseed.go
@@ -1,12 +1,12 @@
-// Package fixedseed makes property tests reach the same verdict on every run.
-// Test packages import it for its effect; the command line still wins, so that
-// `make fuzz` can draw fresh seeds.
+// Package fixedseed makes property tests reproducible: it sets rapid's flags, among them
+// the seed. Test packages import it for this side effect. Flags on the command line take
+// precedence, so that `make fuzz` can use fresh seeds.
 package fixedseed
 
 import (
 	"flag"
 
-	// Its flags must exist before they are set.
+	// Imported so that its flags are registered before init sets them.
 	_ "pgregory.net/rapid"
 )
 
