--- a/test/run.sh
+++ b/test/run.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
 # Starts a store, two engines, a plain service and three entry hosts as separate
 # processes, and sends requests through them. With --keep it leaves them running
-# and prints lines to try; otherwise it stops what it started.
+# and prints commands to try; otherwise it stops all that it started.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 keep=${1:-}
@@ -48,10 +48,10 @@
 }
 for try in $(seq 100); do
   [ "$(bin/briarlink admin --address 127.0.0.1:17501 replicas --all | grep -c serving)" = 3 ] && break
-  [ "$try" -lt 100 ] || { echo "backend servers are not known"; exit 1; }
+  [ "$try" -lt 100 ] || { echo "backend servers are not registered"; exit 1; }
   sleep 0.1
 done
-echo "== a streamed request, then another over the same parts"
+echo "== a streamed request, then another with the same prefix blocks"
 call --key key-of-museum-a --model m --prefix a1:8000,b2:400 --tokens 8400,32 --body "the history of cabinet 7" /reports/1 | tail -2
 call --key key-of-museum-a --model m --prefix a1:8000,c3:300 --tokens 8300,32 --body "and its drawers" /reports/2 | tail -2
 echo "== an update, which runs at most once, and a view"
@@ -78,7 +78,7 @@
 == running; logs and pids are in $work
 curl -s '127.0.0.1:17411/-/resolve?Name=museum.example&Zone=valle-central-1'
 bin/briarlink admin --address 127.0.0.1:17502 status
-kill -9 \$(cat $work/entry-3.pid)    # then ask the directory again
+kill -9 \$(cat $work/entry-3.pid)    # then query the directory again
 kill ${pids[*]}    # stops everything
 TEXT
 fi
