--- a/Makefile
+++ b/Makefile
@@ -16,15 +16,15 @@
 up: build
 	bash test/run.sh --keep
 
-# Tests that fail for a known fault stand in KNOWN-RED.txt, first word of a line. They are
-# named and run apart, and how they end decides nothing until the fault is mended.
+# Tests that fail because of a known fault are listed in KNOWN-RED.txt, as the first word of a
+# line. They are printed and run separately, and their result is ignored until the fault is fixed.
 RED := $(shell cut -d' ' -f1 KNOWN-RED.txt 2>/dev/null | paste -sd'|')
 test:
 	go test -race -count=1 $(if $(RED),-skip '^($(RED))$$') ./...
 	@test ! -s KNOWN-RED.txt || { echo "known red:"; cat KNOWN-RED.txt; go test -race -count=1 -run '^($(RED))$$' ./... | grep -v -e 'no test files' -e 'no tests to run' || true; }
 
-# Real processes under seeded faults, checked from outside. Seeds that once failed
-# stand in test/soak/seeds.txt; SOAK sets others: make soak SOAK="--first 100 --seeds 50".
+# Runs real processes under seeded faults and checks them from outside. test/soak/seeds.txt lists
+# the default seeds; SOAK sets other options: make soak SOAK="--first 100 --seeds 50".
 SOAK := $(addprefix --seed ,$(shell grep -o '^[0-9]*' test/soak/seeds.txt)) --length 5s
 soak: build
 	go build -o $(BIN)/soak ./test/soak
@@ -37,7 +37,7 @@
 	PATH=$(CURDIR)/$(GEN):$$PATH protoc -I api --connect-go_out=api --connect-go_opt=paths=source_relative briarlink/v1/admin.proto
 	PATH=$(CURDIR)/$(GEN):$$PATH protoc -I api --go-drpc_out=api --go-drpc_opt=paths=source_relative briarlink/v1/peer.proto
 
-# Generated code must be the schema's.
+# Checks that the generated code in api/ is up to date with the schema.
 check-generated: generate
 	@git diff --exit-code --stat -- api || { echo "generated code differs from the schema: run make generate"; exit 1; }
 
@@ -46,14 +46,14 @@
 	go vet ./...
 	go tool staticcheck ./...
 
-# Speeds, for docs/MEASUREMENTS.md.
+# Benchmarks, for docs/MEASUREMENTS.md.
 bench:
 	go test -run '^$$' -bench . -benchtime 200ms -timeout 300s ./internal/...
 
-# Long runs with fresh seeds, which are printed on failure.
+# Long runs of property tests with fresh seeds. A failure prints its seed.
 fuzz:
 	for p in topic retry dispatch rollout quota; do go test -count=1 -timeout 30m ./internal/$$p -rapid.seed=0 -rapid.checks=20000 || exit 1; done
 
-# Renews the generated documents: error table, state machines, log events.
+# Regenerates documents from the code: error table, state machines, log events.
 docs:
 	go test -count=1 ./internal/doccheck -update
