--- a/internal/node/heard.go
+++ b/internal/node/heard.go
@@ -31,8 +31,8 @@
 		n.replicas.DropLoads(b.Host)
 	}
 	n.replicas.SetLoads(b.Host, b.Loads, now)
-	n.limiter.Heard(quota.Word{Host: b.Host, Incarnation: b.Incarnation, Routing: b.Routing, Uses: b.Uses}, now)
-	n.crashes.Heard(b.Crashes, now)
+	n.limiter.ApplyReport(quota.Word{Host: b.Host, Incarnation: b.Incarnation, Routing: b.Routing, Uses: b.Uses}, now)
+	n.crashes.ApplyReport(b.Crashes, now)
 	n.lease.Heard(b.Host, b.LeaseEnd)
 	n.canaries.ReceivePermits(b.MovePermits, now)
 	n.canaries.ReceiveAnswers(b.Host, b.Incarnation, b.MoveAnswers)
@@ -94,8 +94,8 @@
 
 // applyFreshness records how recently another host read the topics.
 func (n *Node) applyFreshness(b *pb.Heartbeat, now time.Time) {
-	n.operatorsFreshness.Heard(position(b, platform.OperatorTopic), n.operators.End(), ageFromMs(b.OperatorsAgeMs), now)
-	n.entriesFreshness.Heard(position(b, platform.ReplicaTopic), n.servers.End(), ageFromMs(b.EntriesAgeMs), now)
+	n.operatorsFreshness.ApplyReport(position(b, platform.OperatorTopic), n.operators.End(), ageFromMs(b.OperatorsAgeMs), now)
+	n.entriesFreshness.ApplyReport(position(b, platform.ReplicaTopic), n.servers.End(), ageFromMs(b.EntriesAgeMs), now)
 }
 
 func ageFromMs(ms int64) time.Duration {
--- a/internal/quarantine/save_test.go
+++ b/internal/quarantine/save_test.go
@@ -24,7 +24,7 @@
 	var record platform.QuarantineRecord
 	for i, want := range []int{0, 2, 3} {
 		observer.Crashed(Server(10+i), []Digest{poison, innocent + Digest(i)}, at(float64(i)))
-		receiver.Heard(observer.Changes(at(float64(i)), true), at(float64(i)))
+		receiver.ApplyReport(observer.Changes(at(float64(i)), true), at(float64(i)))
 		unsaved := observer.Unsaved()
 		if want == 0 && len(unsaved) == 0 {
 			continue
--- a/internal/quarantine/table_test.go
+++ b/internal/quarantine/table_test.go
@@ -39,7 +39,7 @@
 	for _, from := range hosts {
 		reports := from.Changes(at(3), false)
 		for _, to := range hosts {
-			to.Heard(reports, at(3))
+			to.ApplyReport(reports, at(3))
 		}
 	}
 	for i, h := range hosts {
@@ -61,12 +61,12 @@
 	if a.Refused(poison, at(3)) == 0 {
 		t.Error("the poison request is admitted")
 	}
-	b.Heard(a.Changes(at(3), true), at(3))
+	b.ApplyReport(a.Changes(at(3), true), at(3))
 	a.Answered(innocent, at(4))
 	if a.Refused(innocent, at(4)) != 0 {
 		t.Error("a request that was answered is refused")
 	}
-	b.Heard(a.Changes(at(4), true), at(4))
+	b.ApplyReport(a.Changes(at(4), true), at(4))
 	if b.Refused(innocent, at(4)) != 0 || b.Refused(poison, at(4)) == 0 {
 		t.Error("the report of an answer changed nothing, or too much")
 	}
@@ -118,7 +118,7 @@
 	now := at(60)
 	for range 7 {
 		now = now.Add(150 * time.Millisecond)
-		started.Heard(informed.Changes(now, true), now)
+		started.ApplyReport(informed.Changes(now, true), now)
 	}
 	if n := started.Count(now); n != refused {
 		t.Errorf("%d of %d refused requests received", n, refused)
@@ -173,7 +173,7 @@
 				reports := from.Changes(now, true)
 				for j, to := range hosts {
 					if i != j && (!lossy || delivered(i, j)) {
-						to.Heard(reports, now)
+						to.ApplyReport(reports, now)
 					}
 				}
 			}
@@ -218,7 +218,7 @@
 	}
 }
 
-func BenchmarkHeard(b *testing.B) {
+func BenchmarkApplyReport(b *testing.B) {
 	from, to := newTable(), newTable()
 	for i := range maxUpdates {
 		from.Crashed(Server(1), []Digest{Digest(1 + i)}, start)
@@ -228,6 +228,6 @@
 		b.Fatalf("%d reported", len(reports))
 	}
 	for b.Loop() {
-		to.Heard(reports, start)
+		to.ApplyReport(reports, start)
 	}
 }
--- a/internal/quarantine/tell.go
+++ b/internal/quarantine/tell.go
@@ -85,8 +85,8 @@
 	return out
 }
 
-// Heard applies the reports of another host.
-func (t *Table) Heard(reports []*pb.RequestCrashes, now time.Time) {
+// ApplyReport applies the reports of another host.
+func (t *Table) ApplyReport(reports []*pb.RequestCrashes, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, report := range reports {
--- a/internal/quota/exchange.go
+++ b/internal/quota/exchange.go
@@ -250,8 +250,8 @@
 	return a.level+unreported*float64(l.hosts-1) >= reportThreshold*l.capacity(a.limit)
 }
 
-// Heard applies the usage that another host reported.
-func (l *Limiter) Heard(w Word, now time.Time) {
+// ApplyReport applies the usage that another host reported.
+func (l *Limiter) ApplyReport(w Word, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	p := l.peers[w.Host]
--- a/internal/quota/fleet_test.go
+++ b/internal/quota/fleet_test.go
@@ -310,7 +310,7 @@
 		}
 		if other != nil && f.receives(to, from) {
 			c.lastSeen[to][from] = f.now
-			other.Heard(w, f.now)
+			other.ApplyReport(w, f.now)
 		}
 	}
 }
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -161,7 +161,7 @@
 func reportUsage(from *Limiter, name string, now time.Time, to ...*Limiter) {
 	w := Word{Host: name, Incarnation: 1, Routing: true, Uses: from.Changes(now)}
 	for _, l := range to {
-		l.Heard(w, now)
+		l.ApplyReport(w, now)
 	}
 }
 
@@ -302,7 +302,7 @@
 	}
 	b, _ := newInformedLimiter(t, rates...)
 	b.SetHosts(4, 4, true, now)
-	b.Heard(Word{Host: "a", Uses: full}, now)
+	b.ApplyReport(Word{Host: "a", Uses: full}, now)
 	refused := 0
 	for i := range 50 {
 		if !b.Admit(fmt.Sprint("o", i), tokens(1), now).Admitted {
@@ -323,7 +323,7 @@
 	fill(a, "o0", 10, now)
 	b, _ := newInformedLimiter(t, 1000)
 	b.SetHosts(8, 8, true, now)
-	b.Heard(Word{Host: "a", Uses: a.Full(now)}, now)
+	b.ApplyReport(Word{Host: "a", Uses: a.Full(now)}, now)
 	if got := fill(b, "o0", 10, now); got > 0 {
 		t.Errorf("admitted %d tokens on a standby host whose relay refuses, want 0", got)
 	}
@@ -359,7 +359,7 @@
 	b, _ := newInformedLimiter(t, 1000)
 	b.SetHosts(4, 4, true, now)
 	fill(a, "o0", 10, now)
-	b.Heard(Word{Host: "a", Uses: a.Full(now)}, now)
+	b.ApplyReport(Word{Host: "a", Uses: a.Full(now)}, now)
 	for range 20 {
 		now = now.Add(testInterval)
 		b.SetHosts(4, 1, true, now)
@@ -471,8 +471,8 @@
 	}
 }
 
-// BenchmarkHeard measures how long a heartbeat that reports forty organisations takes to apply.
-func BenchmarkHeard(b *testing.B) {
+// BenchmarkApplyReport measures how long a heartbeat that reports forty organisations takes to apply.
+func BenchmarkApplyReport(b *testing.B) {
 	rates := make([]float64, 1500)
 	for i := range rates {
 		rates[i] = 1000
@@ -486,6 +486,6 @@
 		for _, u := range uses {
 			u.Used = int64(i)
 		}
-		l.Heard(Word{Host: "a", Routing: true, Uses: uses}, now)
+		l.ApplyReport(Word{Host: "a", Routing: true, Uses: uses}, now)
 	}
 }
