--- a/internal/node/heard.go
+++ b/internal/node/heard.go
@@ -33,7 +33,7 @@
 	n.replicas.SetLoads(b.Host, b.Loads, now)
 	n.limiter.ApplyReport(quota.Word{Host: b.Host, Incarnation: b.Incarnation, Routing: b.Routing, Uses: b.Uses}, now)
 	n.crashes.ApplyReport(b.Crashes, now)
-	n.lease.Heard(b.Host, b.LeaseEnd)
+	n.lease.ApplyHolderReport(b.Host, b.LeaseEnd)
 	n.canaries.ReceivePermits(b.MovePermits, now)
 	n.canaries.ReceiveAnswers(b.Host, b.Incarnation, b.MoveAnswers)
 	n.replicas.HeardPaces(b.Host, b.Paces)
--- a/internal/rollout/follow.go
+++ b/internal/rollout/follow.go
@@ -62,9 +62,9 @@
 	return l.machine.Is(StateOther) && clock.Since(l.holderLastSeen) < holderReportTTL
 }
 
-// Heard records a report from another host: end is the end of the lease's log if that host
+// ApplyHolderReport records a report from another host: end is the end of the lease's log if that host
 // holds the lease, or 0 if it does not.
-func (l *Lease) Heard(holder string, end int64) {
+func (l *Lease) ApplyHolderReport(holder string, end int64) {
 	if end == 0 {
 		return
 	}
