--- a/internal/node/heard.go
+++ b/internal/node/heard.go
@@ -69,7 +69,7 @@
 	}
 	for _, s := range c.Services {
 		if s.Engine != nil {
-			n.scheduler.Heard(b.Sent, s.Engine.CacheTokens, clock.Now())
+			n.scheduler.ApplySent(b.Sent, s.Engine.CacheTokens, clock.Now())
 			return
 		}
 	}
--- a/internal/schedule/schedule_test.go
+++ b/internal/schedule/schedule_test.go
@@ -205,7 +205,7 @@
 	remote, _, _ := newScheduler("a", "b")
 	now := time.Now()
 	first := pick(t, remote, request(open, "p"), now)
-	local.Heard(remote.TakeSent(), service.Engine.CacheTokens, now)
+	local.ApplySent(remote.TakeSent(), service.Engine.CacheTokens, now)
 	if c := pick(t, local, request(open, "p"), now.Add(5*time.Second)); c.ID != first.ID || c.Cached != 13_000 {
 		t.Errorf("went to %s, cached %d; the other host sent to %s", c.ID, c.Cached, first.ID)
 	}
--- a/internal/schedule/sent.go
+++ b/internal/schedule/sent.go
@@ -79,9 +79,9 @@
 	return sent
 }
 
-// Heard applies sent prompts reported by another host. capacity is the size of the replicas'
+// ApplySent applies sent prompts reported by another host. capacity is the size of the replicas'
 // KV cache in tokens.
-func (s *Scheduler) Heard(sent []*pb.PrefixSent, capacity int, now time.Time) {
+func (s *Scheduler) ApplySent(sent []*pb.PrefixSent, capacity int, now time.Time) {
 	for _, item := range sent {
 		var p prefix.Prompt
 		for i, block := range item.Parts {
