--- a/internal/member/fleet_test.go
+++ b/internal/member/fleet_test.go
@@ -135,7 +135,7 @@
 		return
 	}
 	to.received++
-	to.table.Heard(d.heartbeat, s.now)
+	to.table.ApplyHeartbeat(d.heartbeat, s.now)
 }
 
 // resetCounters resets the counters.
--- a/internal/member/table.go
+++ b/internal/member/table.go
@@ -211,10 +211,10 @@
 	return t.self.Ready
 }
 
-// Heard applies a received heartbeat and the states relayed in it. It returns the previous
+// ApplyHeartbeat applies a received heartbeat and the states relayed in it. It returns the previous
 // heartbeat of the sender and whether this one is newer. A heartbeat of another incarnation
 // always counts as newer, since only one process can send from an address.
-func (t *Table) Heard(b *pb.Heartbeat, now time.Time) (previous *pb.Heartbeat, newer bool) {
+func (t *Table) ApplyHeartbeat(b *pb.Heartbeat, now time.Time) (previous *pb.Heartbeat, newer bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	h := t.hosts[b.Host]
--- a/internal/member/table_test.go
+++ b/internal/member/table_test.go
@@ -29,15 +29,15 @@
 func TestOnlyLiveReadyHostsServe(t *testing.T) {
 	table := newTestTable("self")
 	now := time.Now()
-	table.Heard(newHeartbeat("b", 1, 1), now.Add(-testDeadAfter))
+	table.ApplyHeartbeat(newHeartbeat("b", 1, 1), now.Add(-testDeadAfter))
 	table.View(now.Add(-testDeadAfter))
-	table.Heard(newHeartbeat("a", 1, 1), now)
+	table.ApplyHeartbeat(newHeartbeat("a", 1, 1), now)
 	leaving := newHeartbeat("c", 1, 1)
 	leaving.Leaving = true
-	table.Heard(leaving, now)
+	table.ApplyHeartbeat(leaving, now)
 	starting := newHeartbeat("d", 1, 1)
 	starting.Ready = false
-	table.Heard(starting, now)
+	table.ApplyHeartbeat(starting, now)
 	if got := servingOf(table, now); got != "a" {
 		t.Errorf("serving %q, want a", got)
 	}
@@ -54,19 +54,19 @@
 func TestOldHeartbeatsChangeNothing(t *testing.T) {
 	table := newTestTable("self")
 	now := time.Now()
-	table.Heard(newHeartbeat("a", 1, 5), now)
+	table.ApplyHeartbeat(newHeartbeat("a", 1, 5), now)
 	late := newHeartbeat("a", 1, 4)
 	late.Ready = false
-	if _, newer := table.Heard(late, now); newer || servingOf(table, now) != "a" {
+	if _, newer := table.ApplyHeartbeat(late, now); newer || servingOf(table, now) != "a" {
 		t.Error("an older heartbeat was applied")
 	}
 	relayed := newHeartbeat("b", 1, 1)
 	relayed.Members = []*pb.MemberState{{Host: "a", Incarnation: 9, Sequence: 99, AgeMs: 500, PeerAddress: "a:1"}}
-	table.Heard(relayed, now)
+	table.ApplyHeartbeat(relayed, now)
 	if got := servingOf(table, now); got != "a,b" && got != "b,a" {
 		t.Errorf("serving %q after an older relayed state", got)
 	}
-	if _, newer := table.Heard(newHeartbeat("a", 2, 1), now); !newer {
+	if _, newer := table.ApplyHeartbeat(newHeartbeat("a", 2, 1), now); !newer {
 		t.Error("the heartbeat of a new incarnation was not applied")
 	}
 }
@@ -87,11 +87,11 @@
 		{Host: "standby", Incarnation: 1, Sequence: 1, Ready: true, PeerAddress: "standby:1", Cores: 0.2},
 		{Host: "routing", Incarnation: 1, Sequence: 1, Ready: true, Routing: true, PeerAddress: "routing:1", Cores: 0.8},
 	}
-	table.Heard(b, now)
+	table.ApplyHeartbeat(b, now)
 	var died []string
 	for range 20 {
 		now = now.Add(250 * time.Millisecond)
-		table.Heard(relay(), now)
+		table.ApplyHeartbeat(relay(), now)
 		died = append(died, table.Expire(now)...)
 	}
 	if strings.Join(died, ",") != "routing" {
@@ -105,7 +105,7 @@
 func TestAddressesOfDeadHostsAreProbed(t *testing.T) {
 	table := newTestTable("self")
 	now := time.Now()
-	table.Heard(newHeartbeat("a", 1, 1), now)
+	table.ApplyHeartbeat(newHeartbeat("a", 1, 1), now)
 	table.View(now)
 	now = now.Add(2 * testDeadAfter)
 	table.Expire(now)
@@ -124,12 +124,12 @@
 	}
 }
 
-func BenchmarkHeard(b *testing.B) {
+func BenchmarkApplyHeartbeat(b *testing.B) {
 	table := newTestTable("self")
 	now := time.Now()
 	n := uint64(0)
 	for b.Loop() {
 		n++
-		table.Heard(newHeartbeat("a", 1, n), now)
+		table.ApplyHeartbeat(newHeartbeat("a", 1, n), now)
 	}
 }
--- a/internal/node/heard.go
+++ b/internal/node/heard.go
@@ -22,7 +22,7 @@
 		return
 	}
 	now := clock.Now()
-	before, fresh := n.members.Heard(b, now)
+	before, fresh := n.members.ApplyHeartbeat(b, now)
 	if !fresh {
 		return
 	}
