--- a/internal/node/heard.go
+++ b/internal/node/heard.go
@@ -36,7 +36,7 @@
 	n.lease.ApplyHolderReport(b.Host, b.LeaseEnd)
 	n.canaries.ReceivePermits(b.MovePermits, now)
 	n.canaries.ReceiveAnswers(b.Host, b.Incarnation, b.MoveAnswers)
-	n.replicas.HeardPaces(b.Host, b.Paces)
+	n.replicas.ApplySlowdowns(b.Host, b.Paces)
 	n.replicas.Suspect(b.Host, b.Down, now)
 	for _, id := range b.Loading {
 		n.replicas.Loading(id, now.Add(loadingTimeout))
--- a/internal/replica/pace.go
+++ b/internal/replica/pace.go
@@ -136,8 +136,8 @@
 	}
 }
 
-// HeardPaces records the slowdowns that another host measured.
-func (t *Table) HeardPaces(host string, reports []*pb.ReplicaPace) {
+// ApplySlowdowns records the slowdowns that another host measured.
+func (t *Table) ApplySlowdowns(host string, reports []*pb.ReplicaPace) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, report := range reports {
--- a/internal/replica/pace_test.go
+++ b/internal/replica/pace_test.go
@@ -116,12 +116,12 @@
 		for _, w := range reports {
 			reported[w.Replica] = true
 		}
-		there.HeardPaces("here", reports)
+		there.ApplySlowdowns("here", reports)
 	}
 	if got := slowdownNow(there, "engine-19", now); math.Abs(got-1.95) > 1e-6 {
 		t.Errorf("slowdown %.3f, want 1.95", got)
 	}
-	there.HeardPaces("here", []*pb.ReplicaPace{{Replica: "engine-19", Ratio: 1e9, Samples: 8}, {Replica: "nobody", Ratio: 2, Samples: 8}})
+	there.ApplySlowdowns("here", []*pb.ReplicaPace{{Replica: "engine-19", Ratio: 1e9, Samples: 8}, {Replica: "nobody", Ratio: 2, Samples: 8}})
 	if got := slowdownNow(there, "engine-19", now); math.Abs(got-1.95) > 1e-6 {
 		t.Errorf("slowdown %.3f after an implausible report", got)
 	}
