--- a/internal/node/heard.go
+++ b/internal/node/heard.go
@@ -55,7 +55,7 @@
 // applyNamedVersions records when weights versions were named.
 func (n *Node) applyNamedVersions(b *pb.Heartbeat, now time.Time) {
 	for _, w := range b.Named {
-		if n.replicas.HeardNamed(w, now) {
+		if n.replicas.ApplyNamed(w, now) {
 			n.log.WithFields(logrus.Fields{"model": w.Model, "version": w.Version, "host": b.Host}).Info("weights wanted")
 			n.requestHeartbeatToAll()
 		}
--- a/internal/replica/weights.go
+++ b/internal/replica/weights.go
@@ -72,9 +72,9 @@
 	return isNewest
 }
 
-// HeardNamed records another host's report of a version and of its age. It reports whether
+// ApplyNamed records another host's report of a version and of its age. It reports whether
 // the version is newer than all before.
-func (t *Table) HeardNamed(w *pb.NamedWeights, now time.Time) bool {
+func (t *Table) ApplyNamed(w *pb.NamedWeights, now time.Time) bool {
 	age := time.Duration(max(0, w.AgeMs)) * time.Millisecond
 	return t.want(w.Model, wantedVersion{version: w.Version, since: now.Add(-age), exactSince: true}, true)
 }
--- a/internal/replica/weights_test.go
+++ b/internal/replica/weights_test.go
@@ -34,14 +34,14 @@
 	}
 	for range 5 {
 		for _, w := range observer.Named(at(4)) {
-			restarted.HeardNamed(w, at(5))
+			restarted.ApplyNamed(w, at(5))
 		}
 		for _, w := range restarted.Named(at(5)) {
-			observer.HeardNamed(w, at(6))
+			observer.ApplyNamed(w, at(6))
 		}
 	}
 	receiver := newTestTable("a")
-	receiver.HeardNamed(&pb.NamedWeights{Model: testModel, Version: 2, AgeMs: -5000}, at(6))
+	receiver.ApplyNamed(&pb.NamedWeights{Model: testModel, Version: 2, AgeMs: -5000}, at(6))
 	if got := reportedAge(receiver, 2, at(8)); got != 2*time.Second {
 		t.Errorf("named %v ago by a report with a negative age, want 2s", got)
 	}
@@ -69,7 +69,7 @@
 	observer.Want(testModel, 3, start.Add(3*time.Second))
 	restarted.Find(testModel, 3, now)
 	for _, w := range observer.Named(now) {
-		if restarted.HeardNamed(w, now) {
+		if restarted.ApplyNamed(w, now) {
 			t.Errorf("version %d is reported as newer than the newest", w.Version)
 		}
 	}
