--- a/internal/canary/simulate_test.go
+++ b/internal/canary/simulate_test.go
@@ -111,7 +111,7 @@
 	}
 	permits := s.hosts[0].Permits(3, s.now)
 	for i, from := range s.hosts {
-		if !from.Untold() {
+		if !from.HasUnreported() {
 			continue
 		}
 		answers := from.Answers()
--- a/internal/canary/table.go
+++ b/internal/canary/table.go
@@ -392,8 +392,8 @@
 	return out
 }
 
-// Untold reports whether this host's newest answers have not been sent to other hosts.
-func (t *Table) Untold() bool {
+// HasUnreported reports whether this host's newest answers have not been sent to other hosts.
+func (t *Table) HasUnreported() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.unreported
--- a/internal/node/gossip.go
+++ b/internal/node/gossip.go
@@ -38,7 +38,7 @@
 	for tick := 0; ; {
 		now := clock.Now()
 		n.updateLimitShares(now)
-		n.sendHeartbeat(n.members.Tick(tick, n.replicas.Working() || n.limiter.Untold() || n.crashes.Untold(), now), true, now)
+		n.sendHeartbeat(n.members.Tick(tick, n.replicas.Working() || n.limiter.HasUnreported() || n.crashes.HasUnreported(), now), true, now)
 		tick++
 		for untilTick := true; untilTick; {
 			select {
@@ -174,7 +174,7 @@
 	if n.canaryLease.Valid() {
 		b.MovePermits = n.canaries.Permits(n.canaryLease.Fencing(), now)
 	}
-	if atInterval && n.canaries.Untold() {
+	if atInterval && n.canaries.HasUnreported() {
 		b.MoveAnswers = n.canaries.Answers()
 	}
 	n.loader.Recent(now, func(id, model string, version int64) {
--- a/internal/quarantine/tell.go
+++ b/internal/quarantine/tell.go
@@ -26,8 +26,8 @@
 	reported   bool
 }
 
-// Untold reports whether there is an update to report at once.
-func (t *Table) Untold() bool {
+// HasUnreported reports whether there is an update to report at once.
+func (t *Table) HasUnreported() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, u := range t.updates {
--- a/internal/quota/exchange.go
+++ b/internal/quota/exchange.go
@@ -221,8 +221,8 @@
 	return out[:min(len(out), maxFullest)]
 }
 
-// Untold reports whether this host has unreported usage.
-func (l *Limiter) Untold() bool {
+// HasUnreported reports whether this host has unreported usage.
+func (l *Limiter) HasUnreported() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, a := range l.accounts {
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -391,7 +391,7 @@
 		l.Charge(fmt.Sprint("o", i), int64(1+i), now)
 	}
 	reported := map[uint64]bool{}
-	for first := true; l.Untold(); first = false {
+	for first := true; l.HasUnreported(); first = false {
 		uses := l.Changes(now)
 		if len(uses) > maxReported {
 			t.Fatalf("%d organisations in one heartbeat", len(uses))
