--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -68,14 +68,14 @@
 	}
 	hosts = max(1, hosts)
 	unseen := n.unseenHosts(v, now)
-	others := n.limiter.Hears(v.Routing, now)
+	others := n.limiter.CountReachable(v.Routing, now)
 	reachable := 1.0
 	switch {
 	case v.Here && others > 0:
 		remaining := max(1, hosts-n.routingHistory.countLost(v.Routing, n.members.Lost, now))
 		reachable = float64(remaining) * min(1, float64(others+1)/float64(len(v.Routing)))
 		hosts = addUnseenHosts(hosts, v.Live, unseen)
-	case !v.Here && n.limiter.Hears(v.Relays, now) > 0:
+	case !v.Here && n.limiter.CountReachable(v.Relays, now) > 0:
 		reachable = float64(hosts)
 	case live == 1:
 		hosts = addUnseenHosts(hosts, v.Live, unseen)
--- a/internal/quota/exchange.go
+++ b/internal/quota/exchange.go
@@ -128,8 +128,8 @@
 	}
 }
 
-// Hears returns how many of the given hosts are reachable.
-func (l *Limiter) Hears(hosts []*pb.Heartbeat, now time.Time) int {
+// CountReachable returns how many of the given hosts are reachable.
+func (l *Limiter) CountReachable(hosts []*pb.Heartbeat, now time.Time) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	n := 0
--- a/internal/quota/fleet_test.go
+++ b/internal/quota/fleet_test.go
@@ -272,7 +272,7 @@
 		c.maxHosts[host], c.maxHostsSince[host] = known, now
 	}
 	l := c.limiters[host]
-	hosts, reachable := c.maxHosts[host], 1+l.Hears(routing, now)
+	hosts, reachable := c.maxHosts[host], 1+l.CountReachable(routing, now)
 	hosts = max(hosts, known+c.unseenHosts(host, now))
 	l.SetHosts(hosts, float64(reachable), false, now)
 }
