--- a/internal/entry/limit.go
+++ b/internal/entry/limit.go
@@ -21,7 +21,7 @@
 	}, ex.arrived)
 	if decision.Admitted {
 		ex.charged = decision.Cost
-		if decision.Cost > 0 && ex.s.Limiter.TellNow(ex.org.Name) {
+		if decision.Cost > 0 && ex.s.Limiter.ShouldReportNow(ex.org.Name) {
 			ex.s.Tell()
 		}
 		return nil
--- a/internal/quota/exchange.go
+++ b/internal/quota/exchange.go
@@ -233,9 +233,9 @@
 	return false
 }
 
-// TellNow reports whether the unreported usage of an organisation is large enough to be sent before
+// ShouldReportNow reports whether the unreported usage of an organisation is large enough to be sent before
 // the next heartbeat.
-func (l *Limiter) TellNow(organisation string) bool {
+func (l *Limiter) ShouldReportNow(organisation string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a := l.accounts[key(organisation)]
--- a/internal/quota/fleet_test.go
+++ b/internal/quota/fleet_test.go
@@ -228,7 +228,7 @@
 func (c *counts) admit(host int, organisation string, cost int64, now time.Time) bool {
 	l := c.limiters[host]
 	ok := l.Admit(organisation, Size{PromptTokens: int(cost), Said: true}, now).Admitted
-	if ok && l.TellNow(organisation) {
+	if ok && l.ShouldReportNow(organisation) {
 		c.nextReport[host] = now
 	}
 	return ok
