--- a/internal/node/gossip.go
+++ b/internal/node/gossip.go
@@ -124,7 +124,7 @@
 	out.Members = n.members.MemberStates(true, now)
 	out.Standby = n.members.Standby(now)
 	n.members.AddDigest(out, now)
-	out.Uses = n.limiter.Full(now)
+	out.Uses = n.limiter.FullestBuckets(now)
 	out.Crashes = n.crashes.Refusals(now)
 	if out.Routing {
 		out.OperatorsAgeMs = ageMs(n.operatorsAge(now))
--- a/internal/quota/exchange.go
+++ b/internal/quota/exchange.go
@@ -198,8 +198,8 @@
 	u.Level = &level
 }
 
-// Full returns the fullest buckets, to be reported to standby hosts.
-func (l *Limiter) Full(now time.Time) []*pb.OrganisationUse {
+// FullestBuckets returns the fullest buckets, to be reported to standby hosts.
+func (l *Limiter) FullestBuckets(now time.Time) []*pb.OrganisationUse {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !l.informed {
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -296,7 +296,7 @@
 	for i := range 50 {
 		fill(a, fmt.Sprint("o", i), 100, now)
 	}
-	full := a.Full(now)
+	full := a.FullestBuckets(now)
 	if len(full) != maxFullest {
 		t.Fatalf("reported %d organisations to a standby host, want maxFullest", len(full))
 	}
@@ -323,7 +323,7 @@
 	fill(a, "o0", 10, now)
 	b, _ := newInformedLimiter(t, 1000)
 	b.SetHosts(8, 8, true, now)
-	b.ApplyReport(Word{Host: "a", Uses: a.Full(now)}, now)
+	b.ApplyReport(Word{Host: "a", Uses: a.FullestBuckets(now)}, now)
 	if got := fill(b, "o0", 10, now); got > 0 {
 		t.Errorf("admitted %d tokens on a standby host whose relay refuses, want 0", got)
 	}
@@ -359,7 +359,7 @@
 	b, _ := newInformedLimiter(t, 1000)
 	b.SetHosts(4, 4, true, now)
 	fill(a, "o0", 10, now)
-	b.ApplyReport(Word{Host: "a", Uses: a.Full(now)}, now)
+	b.ApplyReport(Word{Host: "a", Uses: a.FullestBuckets(now)}, now)
 	for range 20 {
 		now = now.Add(testInterval)
 		b.SetHosts(4, 1, true, now)
