--- a/internal/node/heard.go
+++ b/internal/node/heard.go
@@ -31,7 +31,7 @@
 		n.replicas.DropLoads(b.Host)
 	}
 	n.replicas.SetLoads(b.Host, b.Loads, now)
-	n.limiter.ApplyReport(quota.Word{Host: b.Host, Incarnation: b.Incarnation, Routing: b.Routing, Uses: b.Uses}, now)
+	n.limiter.ApplyReport(quota.UsageReport{Host: b.Host, Incarnation: b.Incarnation, Routing: b.Routing, Uses: b.Uses}, now)
 	n.crashes.ApplyReport(b.Crashes, now)
 	n.lease.ApplyHolderReport(b.Host, b.LeaseEnd)
 	n.canaries.ReceivePermits(b.MovePermits, now)
--- a/internal/quota/exchange.go
+++ b/internal/quota/exchange.go
@@ -43,8 +43,8 @@
 	receivedAt time.Time
 }
 
-// Word is the usage that another host reports in a heartbeat.
-type Word struct {
+// UsageReport is the usage that another host reports in a heartbeat.
+type UsageReport struct {
 	Host        string
 	Incarnation uint64
 	Routing     bool
@@ -251,7 +251,7 @@
 }
 
 // ApplyReport applies the usage that another host reported.
-func (l *Limiter) ApplyReport(w Word, now time.Time) {
+func (l *Limiter) ApplyReport(w UsageReport, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	p := l.peers[w.Host]
--- a/internal/quota/fleet_test.go
+++ b/internal/quota/fleet_test.go
@@ -301,7 +301,7 @@
 func hostName(n int) string { return fmt.Sprintf("host-%d", n) }
 
 func (c *counts) report(f *fleet, from int, l *Limiter) {
-	w := Word{Host: hostName(from), Incarnation: c.incarnations[from], Routing: true, Uses: l.Changes(f.now)}
+	w := UsageReport{Host: hostName(from), Incarnation: c.incarnations[from], Routing: true, Uses: l.Changes(f.now)}
 	size := proto.Size(&pb.Heartbeat{Uses: w.Uses})
 	for to, other := range c.limiters {
 		if to != from {
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -159,7 +159,7 @@
 
 // reportUsage applies the unreported usage of one limiter to others.
 func reportUsage(from *Limiter, name string, now time.Time, to ...*Limiter) {
-	w := Word{Host: name, Incarnation: 1, Routing: true, Uses: from.Changes(now)}
+	w := UsageReport{Host: name, Incarnation: 1, Routing: true, Uses: from.Changes(now)}
 	for _, l := range to {
 		l.ApplyReport(w, now)
 	}
@@ -302,7 +302,7 @@
 	}
 	b, _ := newInformedLimiter(t, rates...)
 	b.SetHosts(4, 4, true, now)
-	b.ApplyReport(Word{Host: "a", Uses: full}, now)
+	b.ApplyReport(UsageReport{Host: "a", Uses: full}, now)
 	refused := 0
 	for i := range 50 {
 		if !b.Admit(fmt.Sprint("o", i), tokens(1), now).Admitted {
@@ -323,7 +323,7 @@
 	fill(a, "o0", 10, now)
 	b, _ := newInformedLimiter(t, 1000)
 	b.SetHosts(8, 8, true, now)
-	b.ApplyReport(Word{Host: "a", Uses: a.FullestBuckets(now)}, now)
+	b.ApplyReport(UsageReport{Host: "a", Uses: a.FullestBuckets(now)}, now)
 	if got := fill(b, "o0", 10, now); got > 0 {
 		t.Errorf("admitted %d tokens on a standby host whose relay refuses, want 0", got)
 	}
@@ -359,7 +359,7 @@
 	b, _ := newInformedLimiter(t, 1000)
 	b.SetHosts(4, 4, true, now)
 	fill(a, "o0", 10, now)
-	b.ApplyReport(Word{Host: "a", Uses: a.FullestBuckets(now)}, now)
+	b.ApplyReport(UsageReport{Host: "a", Uses: a.FullestBuckets(now)}, now)
 	for range 20 {
 		now = now.Add(testInterval)
 		b.SetHosts(4, 1, true, now)
@@ -486,6 +486,6 @@
 		for _, u := range uses {
 			u.Used = int64(i)
 		}
-		l.ApplyReport(Word{Host: "a", Routing: true, Uses: uses}, now)
+		l.ApplyReport(UsageReport{Host: "a", Routing: true, Uses: uses}, now)
 	}
 }
