--- a/internal/node/refusals_test.go
+++ b/internal/node/refusals_test.go
@@ -253,7 +253,7 @@
 		o.idealLevel += float64(cost)
 		f.entitled += float64(cost)
 	}
-	admitted := h.n.limiter.Admit(o.name, quota.Size{PromptTokens: cost, Said: true}, now).Admitted
+	admitted := h.n.limiter.Admit(o.name, quota.Size{PromptTokens: cost, HasTokenCount: true}, now).Admitted
 	switch {
 	case !admitted && entitled:
 		f.refused += float64(cost)
--- a/internal/quota/admit.go
+++ b/internal/quota/admit.go
@@ -22,8 +22,8 @@
 // Size is the size of a request, from which its cost is calculated.
 type Size struct {
 	PromptTokens, OutputTokens int
-	// Said is set if the request states its number of tokens.
-	Said bool
+	// HasTokenCount is set if the request states its number of tokens.
+	HasTokenCount bool
 }
 
 const (
@@ -50,7 +50,7 @@
 		return Decision{Admitted: true}
 	}
 	l.drain(a, now)
-	cost := a.limit.Cost(size.PromptTokens, size.OutputTokens, size.Said)
+	cost := a.limit.Cost(size.PromptTokens, size.OutputTokens, size.HasTokenCount)
 	if l.hasRoom(a, float64(cost), now) {
 		a.charge(cost)
 		return Decision{Admitted: true, Cost: cost}
--- a/internal/quota/fleet_test.go
+++ b/internal/quota/fleet_test.go
@@ -227,7 +227,7 @@
 
 func (c *counts) admit(host int, organisation string, cost int64, now time.Time) bool {
 	l := c.limiters[host]
-	ok := l.Admit(organisation, Size{PromptTokens: int(cost), Said: true}, now).Admitted
+	ok := l.Admit(organisation, Size{PromptTokens: int(cost), HasTokenCount: true}, now).Admitted
 	if ok && l.ShouldReportNow(organisation) {
 		c.nextReport[host] = now
 	}
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -33,7 +33,7 @@
 	return out
 }
 
-func tokens(n int) Size { return Size{PromptTokens: n, Said: true} }
+func tokens(n int) Size { return Size{PromptTokens: n, HasTokenCount: true} }
 
 // fill admits requests of an organisation until one is refused, and returns the tokens admitted.
 func fill(l *Limiter, organisation string, each int, now time.Time) int {
@@ -69,7 +69,7 @@
 // it does not state them, and one if the limit counts requests.
 func TestRequestCost(t *testing.T) {
 	l, now := newInformedLimiter(t, 1000)
-	if d := l.Admit("o0", Size{PromptTokens: 70, OutputTokens: 9, Said: true}, now); d.Cost != 79 {
+	if d := l.Admit("o0", Size{PromptTokens: 70, OutputTokens: 9, HasTokenCount: true}, now); d.Cost != 79 {
 		t.Errorf("cost %d, want 79", d.Cost)
 	}
 	if d := l.Admit("o0", Size{PromptTokens: 64}, now); d.Cost != 200 {
