--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -91,12 +91,12 @@
 
 // unseenHosts returns an upper estimate of the number of running hosts from which this host
 // receives no heartbeats. It counts the known addresses from which none was received. Until a
-// starting host has read all addresses from the store, it assumes at least quota.StartHosts in
+// starting host has read all addresses from the store, it assumes at least quota.AssumedHosts in
 // total.
 func (n *Node) unseenHosts(v *member.View, now time.Time) int {
 	unseen := n.unseenAddresses(v, now)
 	if !n.hosts.Synced() && n.members.KnowsOthers() && now.Sub(n.started) < countRetention {
-		unseen = max(unseen, quota.StartHosts-v.Live)
+		unseen = max(unseen, quota.AssumedHosts-v.Live)
 	}
 	return unseen
 }
--- a/internal/quota/exchange.go
+++ b/internal/quota/exchange.go
@@ -116,7 +116,7 @@
 	}
 	a.level = max(a.level, a.limit.Burst)
 	if l.EqualShares {
-		a.level = a.limit.Burst / StartHosts
+		a.level = a.limit.Burst / AssumedHosts
 	}
 }
 
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -56,11 +56,11 @@
 )
 
 const (
-	// StartHosts is the number of hosts that a starting host assumes until it has discovered the
+	// AssumedHosts is the number of hosts that a starting host assumes until it has discovered the
 	// others. Most fleets have about twenty routing hosts.
-	StartHosts = 16
+	AssumedHosts = 16
 	// discoveryStart and discoveryEnd are times after the start of a host. Until discoveryStart it
-	// assumes StartHosts hosts; from then on the assumed number falls linearly and reaches zero at
+	// assumes AssumedHosts hosts; from then on the assumed number falls linearly and reaches zero at
 	// discoveryEnd. In simulated fleets of up to 300 hosts that start together, hosts discover all
 	// but a few percent of the others within two seconds.
 	discoveryStart = 300 * time.Millisecond
@@ -238,7 +238,7 @@
 // unknownHosts returns the number of hosts that a starting host assumes.
 func (l *Limiter) unknownHosts(now time.Time) float64 {
 	remaining := (discoveryEnd - now.Sub(l.started)).Seconds() / (discoveryEnd - discoveryStart).Seconds()
-	return StartHosts * max(0, min(1, remaining))
+	return AssumedHosts * max(0, min(1, remaining))
 }
 
 // rate returns the drain rate of a bucket.
