--- a/internal/entry/limit.go
+++ b/internal/entry/limit.go
@@ -42,7 +42,7 @@
 	}
 	now := clock.Now()
 	if ex.report.Ran == 0 {
-		ex.s.Limiter.Return(ex.org.Name, ex.charged, now)
+		ex.s.Limiter.Refund(ex.org.Name, ex.charged, now)
 		return
 	}
 	ex.s.Limiter.Charge(ex.org.Name, int64(ex.report.Ran-1)*ex.charged, now)
--- a/internal/quota/admit.go
+++ b/internal/quota/admit.go
@@ -113,8 +113,8 @@
 	}
 }
 
-// Return refunds the cost of a request that has not run and never will.
-func (l *Limiter) Return(organisation string, cost int64, now time.Time) {
+// Refund refunds the cost of a request that has not run and never will.
+func (l *Limiter) Refund(organisation string, cost int64, now time.Time) {
 	if cost == 0 {
 		return
 	}
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -122,7 +122,7 @@
 	now = now.Add(time.Hour)
 	for range 100 {
 		d := l.Admit("o0", tokens(100), now)
-		l.Return("o0", d.Cost, now)
+		l.Refund("o0", d.Cost, now)
 	}
 	if got := fill(l, "o0", 100, now); got != before {
 		t.Errorf("admitted %d tokens after refunds, want %d", got, before)
