--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -157,7 +157,7 @@
 
 // logEndedEpisodes logs the organisations that are no longer over their limit.
 func (n *Node) logEndedEpisodes(now time.Time) {
-	for _, e := range n.limiter.Ended(now) {
+	for _, e := range n.limiter.EndedEpisodes(now) {
 		n.log.WithFields(logrus.Fields{"organisation": e.Organisation, "refused": e.Refused}).Info("organisation below its rate limit again")
 	}
 }
--- a/internal/quota/admit.go
+++ b/internal/quota/admit.go
@@ -133,8 +133,8 @@
 	Refused      int64
 }
 
-// Ended returns the episodes of refusals that have ended since the last call.
-func (l *Limiter) Ended(now time.Time) []Episode {
+// EndedEpisodes returns the episodes of refusals that have ended since the last call.
+func (l *Limiter) EndedEpisodes(now time.Time) []Episode {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var out []Episode
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -415,10 +415,10 @@
 	if d := l.Admit("o0", tokens(100), now); d.First {
 		t.Error("a second refusal started an episode")
 	}
-	if got := l.Ended(now.Add(time.Second)); len(got) != 0 {
+	if got := l.EndedEpisodes(now.Add(time.Second)); len(got) != 0 {
 		t.Errorf("episodes ended after one second: %v", got)
 	}
-	if got := l.Ended(now.Add(3 * time.Second)); len(got) != 1 || got[0] != (Episode{"o0", 2}) {
+	if got := l.EndedEpisodes(now.Add(3 * time.Second)); len(got) != 1 || got[0] != (Episode{"o0", 2}) {
 		t.Errorf("episodes %v", got)
 	}
 	if s := l.Status(now); len(s) != 1 || s[0].Refused != 2 || s[0].Level < 2000 {
