--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -232,7 +232,7 @@
 	policy := route.DefaultPolicy().Without(off)
 	policy.WeightsDeadline = s.Weights.Deadline.AsDuration()
 	n.scheduler = schedule.New(n.replicas, n.index, policy, s.Host.AvailabilityZone, s.Request.ShareCache)
-	n.scheduler.Tell = n.requestHeartbeat
+	n.scheduler.NotifyPeers = n.requestHeartbeat
 	n.scheduler.Off = off
 	n.scheduler.Moves = n.canaries
 	n.budget = retry.NewBudget(s.Retry.Ratio, s.Retry.Window.AsDuration(), 0, 1, n.started)
--- a/internal/schedule/schedule.go
+++ b/internal/schedule/schedule.go
@@ -90,8 +90,8 @@
 	shareCache bool
 	links      links
 	reuse      *reuseTracker
-	// Tell requests that other hosts be notified at once.
-	Tell func()
+	// NotifyPeers requests that other hosts be notified at once.
+	NotifyPeers func()
 	// Moves decides which software versions of a service a request may be sent to. It is set
 	// before use.
 	Moves *canary.Table
@@ -109,7 +109,7 @@
 func New(replicas *replica.Table, index *prefix.Index, policy route.Policy, zone string, shareCache bool) *Scheduler {
 	return &Scheduler{
 		replicas: replicas, index: index, policy: policy, zone: zone, shareCache: shareCache,
-		links: links{busyUntil: map[string]time.Time{}}, reuse: newReuseTracker(), Tell: func() {},
+		links: links{busyUntil: map[string]time.Time{}}, reuse: newReuseTracker(), NotifyPeers: func() {},
 		reachableStores: map[string]bool{}, Moves: canary.NewTable(canary.Terms{}, logrus.StandardLogger()),
 	}
 }
@@ -280,7 +280,7 @@
 	}
 	s.recordSent(c, now)
 	if prefill >= notifyTokens && !s.Off[mechanism.TellAtOnce] {
-		s.Tell()
+		s.NotifyPeers()
 	}
 	return c
 }
