--- a/internal/entry/limit.go
+++ b/internal/entry/limit.go
@@ -22,7 +22,7 @@
 	if decision.Admitted {
 		ex.charged = decision.Cost
 		if decision.Cost > 0 && ex.s.Limiter.ShouldReportNow(ex.org.Name) {
-			ex.s.Tell()
+			ex.s.ReportUsage()
 		}
 		return nil
 	}
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -42,12 +42,12 @@
 	// AnswerTTL is how long callers may use a directory answer.
 	AnswerTTL  time.Duration
 	Dispatcher *dispatch.Dispatcher
-	// Limiter enforces the organisations' rate limits. Tell makes this host report at once to
+	// Limiter enforces the organisations' rate limits. ReportUsage makes this host report at once to
 	// the other hosts what it has admitted.
-	Limiter *quota.Limiter
-	Tell    func()
-	Metrics *obs.Metrics
-	Log     *logrus.Logger
+	Limiter     *quota.Limiter
+	ReportUsage func()
+	Metrics     *obs.Metrics
+	Log         *logrus.Logger
 	// MaxBodyBytes applies where the configuration sets no limit, DefaultDeadline where the
 	// caller sets no timeout.
 	MaxBodyBytes    int64
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -309,7 +309,7 @@
 		AnswerTTL:       s.Request.AnswerTtl.AsDuration(),
 		Dispatcher:      dispatcher,
 		Limiter:         n.limiter,
-		Tell:            n.requestHeartbeat,
+		ReportUsage:     n.requestHeartbeat,
 		Metrics:         n.metrics,
 		Log:             n.log,
 		MaxBodyBytes:    s.Request.MaxBodyBytes,
