--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -67,16 +67,16 @@
 	scheduler := schedule.New(table, prefix.NewIndex(), route.DefaultPolicy(), "z", true)
 	f.view = View{Config: testConfig()}
 	f.deps = Deps{
-		View:        func() View { return f.view },
-		Refuse:      func() error { return nil },
-		Ready:       func() bool { return true },
-		Closing:     func() bool { return false },
-		Directory:   func(string) []string { return []string{"10.0.0.1:1"} },
-		AnswerTTL:   time.Second,
-		Dispatcher:  dispatch.New(scheduler, table, pool, retry.NewBudget(0.2, 10*time.Second, 50, 1, time.Now()), quarantine.NewTable(log)),
-		Limiter:     quota.NewLimiter(quota.Terms{Window: 10 * time.Second, Over: 0.1}, time.Second, time.Now().Add(-time.Minute)),
-		ReportUsage: func() {},
-		Metrics:     metrics, Log: log, MaxBodyBytes: 1 << 10, DefaultDeadline: 5 * time.Second,
+		View:           func() View { return f.view },
+		CheckAccepting: func() error { return nil },
+		Ready:          func() bool { return true },
+		Closing:        func() bool { return false },
+		Directory:      func(string) []string { return []string{"10.0.0.1:1"} },
+		AnswerTTL:      time.Second,
+		Dispatcher:     dispatch.New(scheduler, table, pool, retry.NewBudget(0.2, 10*time.Second, 50, 1, time.Now()), quarantine.NewTable(log)),
+		Limiter:        quota.NewLimiter(quota.Terms{Window: 10 * time.Second, Over: 0.1}, time.Second, time.Now().Add(-time.Minute)),
+		ReportUsage:    func() {},
+		Metrics:        metrics, Log: log, MaxBodyBytes: 1 << 10, DefaultDeadline: 5 * time.Second,
 	}
 	f.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { New(f.deps).Handler().ServeHTTP(w, r) }))
 	t.Cleanup(f.Close)
--- a/internal/entry/request.go
+++ b/internal/entry/request.go
@@ -62,7 +62,7 @@
 	if err != nil {
 		return errkind.Wrap(errkind.InvalidRequest, err, err.Error())
 	}
-	if err := ex.s.Refuse(); err != nil {
+	if err := ex.s.CheckAccepting(); err != nil {
 		return err
 	}
 	if err := ex.resolve(); err != nil {
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -30,8 +30,8 @@
 type Deps struct {
 	// View returns the configuration in force on this host.
 	View func() View
-	// Refuse returns an error while the host accepts no new requests, and nil otherwise.
-	Refuse func() error
+	// CheckAccepting returns an error while the host accepts no new requests, and nil otherwise.
+	CheckAccepting func() error
 	// Ready reports whether the host passes the readiness check, so that callers may be sent to it.
 	Ready func() bool
 	// Closing reports whether callers should close their connections and use another host.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -302,7 +302,7 @@
 	dispatcher.Off = n.off
 	n.entry = entry.New(entry.Deps{
 		View:            n.entryView,
-		Refuse:          n.refuse,
+		CheckAccepting:  n.refuse,
 		Ready:           n.ready,
 		Closing:         n.leaving,
 		Directory:       n.directory,
