--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -70,7 +70,7 @@
 		View:           func() View { return f.view },
 		CheckAccepting: func() error { return nil },
 		Ready:          func() bool { return true },
-		Closing:        func() bool { return false },
+		Stopping:       func() bool { return false },
 		Directory:      func(string) []string { return []string{"10.0.0.1:1"} },
 		AnswerTTL:      time.Second,
 		Dispatcher:     dispatch.New(scheduler, table, pool, retry.NewBudget(0.2, 10*time.Second, 50, 1, time.Now()), quarantine.NewTable(log)),
@@ -188,7 +188,7 @@
 // caller to close the connection.
 func TestStoppingHostsCloseConnections(t *testing.T) {
 	f := newFixture(t)
-	f.deps.Closing = func() bool { return true }
+	f.deps.Stopping = func() bool { return true }
 	if resp, _, complete := f.post(t, "/notes/1", testKey, ""); resp == nil || !resp.Close || !complete {
 		t.Errorf("answer %v, complete %t", resp, complete)
 	}
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -34,8 +34,8 @@
 	CheckAccepting func() error
 	// Ready reports whether the host passes the readiness check, so that callers may be sent to it.
 	Ready func() bool
-	// Closing reports whether callers should close their connections and use another host.
-	Closing func() bool
+	// Stopping reports whether callers should close their connections and use another host.
+	Stopping func() bool
 	// Directory returns the addresses of the entry hosts that callers in an availability zone
 	// should use.
 	Directory func(zone string) []string
@@ -86,7 +86,7 @@
 // so that their next requests go to another host.
 func (s *Server) closeWhenStopping(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if s.Closing() {
+		if s.Stopping() {
 			w.Header().Set("Connection", "close")
 		}
 		next.ServeHTTP(w, r)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -304,7 +304,7 @@
 		View:            n.entryView,
 		CheckAccepting:  n.refuse,
 		Ready:           n.ready,
-		Closing:         n.leaving,
+		Stopping:        n.leaving,
 		Directory:       n.directory,
 		AnswerTTL:       s.Request.AnswerTtl.AsDuration(),
 		Dispatcher:      dispatcher,
