--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -161,7 +161,7 @@
 	heartbeatToAll atomic.Bool
 	// loadReports tracks what has been reported of this host's requests. Only the heartbeat loop
 	// uses it.
-	loadReports replica.Told
+	loadReports replica.LoadReporter
 	// fetchSlots limits the record fetches served at once, and responses caches the answers to
 	// them.
 	fetchSlots *semaphore.Weighted
--- a/internal/replica/failures_test.go
+++ b/internal/replica/failures_test.go
@@ -55,7 +55,7 @@
 func TestFailuresOfAllHostsCount(t *testing.T) {
 	now := time.Now()
 	local, remote := newTestTable("a", "b"), newTestTable("a", "b")
-	var reporter Told
+	var reporter LoadReporter
 	for range 3 {
 		remote.Begin("a", Work{}, now).End(Lost, now)
 		remote.Begin("b", Work{}, now).End(Answered, now)
--- a/internal/replica/told.go
+++ b/internal/replica/told.go
@@ -21,17 +21,17 @@
 	minTokenChange = 700
 )
 
-// Told holds the loads that were last reported to the other hosts. With each heartbeat only
+// LoadReporter holds the loads that were last reported to the other hosts. With each heartbeat only
 // the changes are sent, since a full table would grow with the number of servers. It is not
 // safe for concurrent use.
-type Told struct {
+type LoadReporter struct {
 	last  map[string]*pb.ReplicaLoad
 	round uint64
 }
 
 // Changes returns the loads to report: those that differ from what was last reported and, in
 // a round, also a part of the unchanged ones.
-func (t *Told) Changes(loads []*pb.ReplicaLoad, round bool) []*pb.ReplicaLoad {
+func (t *LoadReporter) Changes(loads []*pb.ReplicaLoad, round bool) []*pb.ReplicaLoad {
 	if t.last == nil {
 		t.last = map[string]*pb.ReplicaLoad{}
 	}
@@ -58,7 +58,7 @@
 }
 
 // due reports whether a server's load is resent in this round.
-func (t *Told) due(id string, rounds uint64) bool {
+func (t *LoadReporter) due(id string, rounds uint64) bool {
 	return xxh3.HashString(id)%rounds == t.round%rounds
 }
 
--- a/internal/replica/told_test.go
+++ b/internal/replica/told_test.go
@@ -15,7 +15,7 @@
 // the last change, whatever changed and even if some reports are lost.
 func TestReportedLoadsConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var reporter Told
+		var reporter LoadReporter
 		received := newLoads()
 		now := time.Unix(1000, 0)
 		work := map[string]*pb.ReplicaLoad{}
@@ -64,7 +64,7 @@
 // fourth if there are few: each is resent before other hosts drop it.
 func TestChangesDoNotGrowWithTheReplicas(t *testing.T) {
 	const replicas = 5300
-	var reporter Told
+	var reporter LoadReporter
 	var work []*pb.ReplicaLoad
 	for i := range replicas {
 		work = append(work, &pb.ReplicaLoad{Replica: fmt.Sprint("i-", i), Requests: 1})
