--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -116,7 +116,7 @@
 		return x.sendFailed(ctx, err)
 	}
 	x.arrived++
-	x.choice.Flight.Told(resp.Answer, clock.Now())
+	x.choice.Flight.RecordNotice(resp.Answer, clock.Now())
 	if resp.Answer.NotRun {
 		return x.handleNotRun(resp)
 	}
--- a/internal/replica/notice.go
+++ b/internal/replica/notice.go
@@ -14,8 +14,8 @@
 // may keep serving with older weights.
 const backoffOverrideThreshold = 3 * time.Second
 
-// Told applies what the head of an answer to this request says about its server.
-func (f *Flight) Told(a platform.ReplicaAnswer, now time.Time) {
+// RecordNotice applies what the head of an answer to this request says about its server.
+func (f *Flight) RecordNotice(a platform.ReplicaAnswer, now time.Time) {
 	f.table.mu.Lock()
 	defer f.table.mu.Unlock()
 	f.table.applyNotice(f.entry, a, now)
--- a/internal/replica/notice_test.go
+++ b/internal/replica/notice_test.go
@@ -35,17 +35,17 @@
 	table.Register(registrationOf(1000, 1), 0)
 	earlier := table.Begin("a", Work{}, time.Now())
 	flight := table.Begin("a", Work{}, time.Now())
-	flight.Told(platform.ReplicaAnswer{}, time.Now())
+	flight.RecordNotice(platform.ReplicaAnswer{}, time.Now())
 	if requests, commands := accepts(t, table); !requests || !commands {
 		t.Error("counted as leaving without a notice")
 	}
-	flight.Told(leaveNotice, time.Now())
+	flight.RecordNotice(leaveNotice, time.Now())
 	table.Register(registrationOf(1000, 1), 1)
 	if requests, commands := accepts(t, table); requests || commands {
 		t.Errorf("after the leave notice: requests %v, commands %v", requests, commands)
 	}
 	table.Register(registrationOf(2000, 1), 2)
-	earlier.Told(leaveNotice, time.Now())
+	earlier.RecordNotice(leaveNotice, time.Now())
 	if requests, commands := accepts(t, table); !requests || !commands {
 		t.Error("a later incarnation counts as leaving because of a notice of the earlier one")
 	}
@@ -60,7 +60,7 @@
 	table.Register(registrationOf(1000, 1), 0)
 	otherServer := leaveNotice
 	otherServer.Instance = "b"
-	table.Begin("a", Work{}, time.Now()).Told(otherServer, time.Now())
+	table.Begin("a", Work{}, time.Now()).RecordNotice(otherServer, time.Now())
 	table.ToldAt(crashAddress, leaveNotice, before)
 	table.ToldAt("10.0.0.9:1", leaveNotice, time.Now())
 	table.ToldAt(crashAddress, platform.ReplicaAnswer{}, time.Now())
@@ -81,9 +81,9 @@
 	table := NewTable(quietLog(), func(string, string) {})
 	table.Register(registrationOf(1000, 1), 0)
 	now := time.Now()
-	table.Begin("a", Work{}, now).Told(platform.ReplicaAnswer{RetryAfter: 5 * time.Second}, now)
-	table.Begin("a", Work{}, now).Told(platform.ReplicaAnswer{RetryAfter: time.Second}, now)
-	table.Begin("a", Work{}, now).Told(platform.ReplicaAnswer{}, now)
+	table.Begin("a", Work{}, now).RecordNotice(platform.ReplicaAnswer{RetryAfter: 5 * time.Second}, now)
+	table.Begin("a", Work{}, now).RecordNotice(platform.ReplicaAnswer{RetryAfter: time.Second}, now)
+	table.Begin("a", Work{}, now).RecordNotice(platform.ReplicaAnswer{}, now)
 	for after, want := range map[time.Duration]time.Duration{0: 5 * time.Second, 4 * time.Second: time.Second, 5 * time.Second: 0, time.Minute: 0} {
 		at := now.Add(after)
 		if got := table.Snapshot(testService, testModel, 1000, at)[0].Backoff; got != want || table.Backoff("a", at) != want {
