--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -223,7 +223,7 @@
 	})
 	n.crashes = quarantine.NewTable(log)
 	n.replicas.Crashed = n.replicaCrashed
-	n.engines.Answered = n.replicas.ToldAt
+	n.engines.Answered = n.replicas.RecordNoticeAt
 	n.replicas.Off = off
 	n.replicas.Known = func(service string) bool {
 		c := n.config.Load()
--- a/internal/replica/notice.go
+++ b/internal/replica/notice.go
@@ -21,9 +21,9 @@
 	f.table.applyNotice(f.entry, a, now)
 }
 
-// ToldAt applies what an answer to another call than a request says about the server at an
+// RecordNoticeAt applies what an answer to another call than a request says about the server at an
 // address. It ignores servers that registered after the call began.
-func (t *Table) ToldAt(address string, a platform.ReplicaAnswer, began time.Time) {
+func (t *Table) RecordNoticeAt(address string, a platform.ReplicaAnswer, began time.Time) {
 	if !a.Leaving && a.RetryAfter == 0 {
 		return
 	}
--- a/internal/replica/notice_test.go
+++ b/internal/replica/notice_test.go
@@ -61,15 +61,15 @@
 	otherServer := leaveNotice
 	otherServer.Instance = "b"
 	table.Begin("a", Work{}, time.Now()).RecordNotice(otherServer, time.Now())
-	table.ToldAt(crashAddress, leaveNotice, before)
-	table.ToldAt("10.0.0.9:1", leaveNotice, time.Now())
-	table.ToldAt(crashAddress, platform.ReplicaAnswer{}, time.Now())
+	table.RecordNoticeAt(crashAddress, leaveNotice, before)
+	table.RecordNoticeAt("10.0.0.9:1", leaveNotice, time.Now())
+	table.RecordNoticeAt(crashAddress, platform.ReplicaAnswer{}, time.Now())
 	if requests, _ := accepts(t, table); !requests {
 		t.Error("counted as leaving because of another server's notice")
 	}
 	own := leaveNotice
 	own.Instance = "a"
-	table.ToldAt(crashAddress, own, time.Now())
+	table.RecordNoticeAt(crashAddress, own, time.Now())
 	if requests, _ := accepts(t, table); requests {
 		t.Error("its notice in an answer to another call than a request was ignored")
 	}
