--- a/internal/replica/lagging.go
+++ b/internal/replica/lagging.go
@@ -32,9 +32,9 @@
 	return t.outdated.ids
 }
 
-// Lagging returns the servers with outdated weights that may be given commands now, ordered
+// Outdated returns the servers with outdated weights that may be given commands now, ordered
 // by ID.
-func (t *Table) Lagging(now time.Time) []Server {
+func (t *Table) Outdated(now time.Time) []Server {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []Server
--- a/internal/replica/lagging_test.go
+++ b/internal/replica/lagging_test.go
@@ -31,7 +31,7 @@
 		for range rapid.IntRange(0, 30).Draw(t, "steps") {
 			steps[rapid.IntRange(0, len(steps)-1).Draw(t, "step")]()
 			var got, want []string
-			for _, s := range table.Lagging(now) {
+			for _, s := range table.Outdated(now) {
 				got = append(got, s.ID)
 			}
 			for _, s := range table.Servers(now) {
--- a/internal/replica/notice_test.go
+++ b/internal/replica/notice_test.go
@@ -95,7 +95,7 @@
 	}
 	table.Want(testModel, 2, now)
 	for after, want := range map[time.Duration]int{backoffOverrideThreshold - time.Millisecond: 0, backoffOverrideThreshold: 1} {
-		if got := len(table.Lagging(now.Add(after))); got != want {
+		if got := len(table.Outdated(now.Add(after))); got != want {
 			t.Errorf("%v after newer weights were named: %d servers to be given commands, want %d", after, got, want)
 		}
 	}
--- a/internal/replica/table_test.go
+++ b/internal/replica/table_test.go
@@ -406,13 +406,13 @@
 	}
 }
 
-// BenchmarkLagging measures the call that each host makes every 60 ms while all weights are
+// BenchmarkOutdated measures the call that each host makes every 60 ms while all weights are
 // up to date.
-func BenchmarkLagging(b *testing.B) {
+func BenchmarkOutdated(b *testing.B) {
 	table := newTestTable(manyIDs()...)
 	now := time.Now()
 	for b.Loop() {
-		table.Lagging(now)
+		table.Outdated(now)
 	}
 }
 
--- a/internal/rollout/loader.go
+++ b/internal/rollout/loader.go
@@ -22,8 +22,8 @@
 // Replicas is the part of the table of backend servers that the loader uses.
 type Replicas interface {
 	Servers(now time.Time) []replica.Server
-	// Lagging returns the servers that have outdated weights.
-	Lagging(now time.Time) []replica.Server
+	// Outdated returns the servers that have outdated weights.
+	Outdated(now time.Time) []replica.Server
 	// Wanted returns the newest version of a model that operators want, or 0.
 	Wanted(model string) int64
 	// Holds records weights that a server holds, unless newer ones are recorded.
@@ -223,7 +223,7 @@
 // be wrong, and lasts until a request succeeds, which none does on outdated weights.
 func (l *Loader) outdated() []loadTarget {
 	var out []loadTarget
-	for _, s := range l.replicas.Lagging(clock.Now()) {
+	for _, s := range l.replicas.Outdated(clock.Now()) {
 		for model, version := range s.Weights {
 			if wanted := l.replicas.Wanted(model); wanted > version {
 				out = append(out, loadTarget{s, model, wanted})
--- a/internal/rollout/loader_test.go
+++ b/internal/rollout/loader_test.go
@@ -72,7 +72,7 @@
 	return out
 }
 
-func (f *fakeFleet) Lagging(now time.Time) []replica.Server { return f.Servers(now) }
+func (f *fakeFleet) Outdated(now time.Time) []replica.Server { return f.Servers(now) }
 
 func (f *fakeFleet) Wanted(string) int64 {
 	f.mu.Lock()
--- a/internal/rollout/stalled_test.go
+++ b/internal/rollout/stalled_test.go
@@ -36,7 +36,7 @@
 	return servers
 }
 
-func (v hostView) Lagging(now time.Time) []replica.Server { return v.Servers(now) }
+func (v hostView) Outdated(now time.Time) []replica.Server { return v.Servers(now) }
 
 func (v hostView) isUnreachable(id string) bool {
 	v.mu.Lock()
