--- a/internal/node/heard.go
+++ b/internal/node/heard.go
@@ -43,7 +43,7 @@
 	}
 	n.applyNamedVersions(b, now)
 	for _, w := range b.Weights {
-		if n.replicas.Holds(w.Replica, w.Model, w.Version) {
+		if n.replicas.RecordWeights(w.Replica, w.Model, w.Version) {
 			n.index.Clear(w.Replica)
 		}
 	}
--- a/internal/replica/lagging_test.go
+++ b/internal/replica/lagging_test.go
@@ -25,7 +25,7 @@
 			},
 			func() { table.Remove(server(), true) },
 			func() { table.Want(testModel, version(), now) },
-			func() { table.Holds(server(), testModel, version()) },
+			func() { table.RecordWeights(server(), testModel, version()) },
 			func() { table.HoldsOlder(server(), testModel, version(), version()) },
 		}
 		for range rapid.IntRange(0, 30).Draw(t, "steps") {
--- a/internal/replica/table_test.go
+++ b/internal/replica/table_test.go
@@ -46,7 +46,7 @@
 	if got[0].Behind != 8*time.Second {
 		t.Errorf("behind for %v, want 8s", got[0].Behind)
 	}
-	table.Holds("a", testModel, 2)
+	table.RecordWeights("a", testModel, 2)
 	got = table.Snapshot(testService, testModel, 1000, start.Add(8*time.Second))
 	if got[0].Behind != 5*time.Second {
 		t.Errorf("behind for %v, want 5s", got[0].Behind)
@@ -59,7 +59,7 @@
 	table := newTestTable("a")
 	now := time.Now()
 	table.Want(testModel, 4, now)
-	table.Holds("a", testModel, 3)
+	table.RecordWeights("a", testModel, 3)
 	if table.HoldsOlder("a", testModel, 2, 1) {
 		t.Error("a report superseded by newer weights was applied")
 	}
@@ -73,14 +73,14 @@
 	table := newTestTable("a", "b", "c")
 	start := time.Now()
 	table.Want(testModel, 2, start)
-	table.Holds("a", testModel, 2)
+	table.RecordWeights("a", testModel, 2)
 	table.Want(testModel, 3, start.Add(3*time.Second))
 	n, longest := table.Lacking(start.Add(8 * time.Second))
 	if n != 3 || longest != 8*time.Second {
 		t.Errorf("%d outdated, the longest for %v; want 3, for 8s", n, longest)
 	}
 	for _, id := range []string{"a", "b", "c"} {
-		table.Holds(id, testModel, 3)
+		table.RecordWeights(id, testModel, 3)
 	}
 	if n, longest := table.Lacking(start.Add(9 * time.Second)); n != 0 || longest != 0 {
 		t.Errorf("%d outdated, the longest for %v; want none", n, longest)
@@ -266,7 +266,7 @@
 	if table.Loading("a", now.Add(time.Second)); !loading() {
 		t.Error("not loading")
 	}
-	table.Holds("a", testModel, 2)
+	table.RecordWeights("a", testModel, 2)
 	if table.Loading("a", now.Add(time.Second)); loading() {
 		t.Error("loading again")
 	}
--- a/internal/replica/weights.go
+++ b/internal/replica/weights.go
@@ -129,9 +129,9 @@
 	return wantedVersion{}, false
 }
 
-// Holds records weights that a server was seen to hold. Late reports of older weights are
+// RecordWeights records weights that a server was seen to hold. Late reports of older weights are
 // ignored; see HoldsOlder. It reports whether the weights are new.
-func (t *Table) Holds(id, model string, version int64) bool {
+func (t *Table) RecordWeights(id, model string, version int64) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.entries[id]
--- a/internal/replica/weights_test.go
+++ b/internal/replica/weights_test.go
@@ -73,7 +73,7 @@
 			t.Errorf("version %d is reported as newer than the newest", w.Version)
 		}
 	}
-	restarted.Holds("b", testModel, 2)
+	restarted.RecordWeights("b", testModel, 2)
 	if got := restarted.Wanted(testModel); got != 3 {
 		t.Errorf("version %d is wanted, want 3", got)
 	}
@@ -95,7 +95,7 @@
 	observer.Register(platform.Registration{ID: "z", Service: "other", Weights: map[string]int64{testModel: 0}}, 9)
 	// A version that every replica has reached is no longer reported.
 	for _, id := range []string{"a", "b"} {
-		observer.Holds(id, testModel, 3)
+		observer.RecordWeights(id, testModel, 3)
 	}
 	if got := observer.Named(now); len(got) != 0 {
 		t.Errorf("still reported: %v", got)
--- a/internal/rollout/loader.go
+++ b/internal/rollout/loader.go
@@ -26,8 +26,8 @@
 	Outdated(now time.Time) []replica.Server
 	// Wanted returns the newest version of a model that operators want, or 0.
 	Wanted(model string) int64
-	// Holds records weights that a server holds, unless newer ones are recorded.
-	Holds(id, model string, version int64) bool
+	// RecordWeights records weights that a server holds, unless newer ones are recorded.
+	RecordWeights(id, model string, version int64) bool
 	// HoldsOlder records that a server reports older weights than the assumed ones, unless
 	// other weights have been recorded since. It reports whether it did.
 	HoldsOlder(id, model string, assumed, version int64) bool
--- a/internal/rollout/loader_test.go
+++ b/internal/rollout/loader_test.go
@@ -80,7 +80,7 @@
 	return f.wanted
 }
 
-func (f *fakeFleet) Holds(id, _ string, version int64) bool {
+func (f *fakeFleet) RecordWeights(id, _ string, version int64) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	newer := f.assumed[id] < version
--- a/internal/rollout/verify.go
+++ b/internal/rollout/verify.go
@@ -57,7 +57,7 @@
 
 // recordWeights records weights that a replica itself reported, and notifies other hosts.
 func (l *Loader) recordWeights(id, model string, version int64) {
-	l.replicas.Holds(id, model, version)
+	l.replicas.RecordWeights(id, model, version)
 	l.mu.Lock()
 	l.recentLoads = append(l.recentLoads, loadedWeights{id, model, version, clock.Now()})
 	l.mu.Unlock()
--- a/internal/schedule/schedule_test.go
+++ b/internal/schedule/schedule_test.go
@@ -116,8 +116,8 @@
 	now := time.Now()
 	s.Read(pick(t, s, request(open, "p"), now), now)
 	table.Want(testModel, 2, now)
-	table.Holds("a", testModel, 2)
-	table.Holds("b", testModel, 2)
+	table.RecordWeights("a", testModel, 2)
+	table.RecordWeights("b", testModel, 2)
 	if c := pick(t, s, request(open, "p"), now); c.Cached != 0 || c.Source != "" || c.Weights != 2 || c.Salt != "m/w2" {
 		t.Errorf("cached %d, source %q, weights %d, salt %q", c.Cached, c.Source, c.Weights, c.Salt)
 	}
@@ -237,8 +237,8 @@
 	now := time.Now()
 	pick(t, s, request(open, "p"), now).Flight.End(replica.Answered, now)
 	table.Want(testModel, 2, now)
-	table.Holds("a", testModel, 2)
-	table.Holds("b", testModel, 2)
+	table.RecordWeights("a", testModel, 2)
+	table.RecordWeights("b", testModel, 2)
 	if c := pick(t, s, request(open, "p"), now.Add(reuseWindow/2)); c.Weights != 2 || c.Sink != storeAddress {
 		t.Errorf("weights %d, sink %q", c.Weights, c.Sink)
 	}
