--- a/internal/replica/lagging_test.go
+++ b/internal/replica/lagging_test.go
@@ -26,7 +26,7 @@
 			func() { table.Remove(server(), true) },
 			func() { table.Want(testModel, version(), now) },
 			func() { table.RecordWeights(server(), testModel, version()) },
-			func() { table.HoldsOlder(server(), testModel, version(), version()) },
+			func() { table.RecordOlderWeights(server(), testModel, version(), version()) },
 		}
 		for range rapid.IntRange(0, 30).Draw(t, "steps") {
 			steps[rapid.IntRange(0, len(steps)-1).Draw(t, "step")]()
--- a/internal/replica/table_test.go
+++ b/internal/replica/table_test.go
@@ -60,10 +60,10 @@
 	now := time.Now()
 	table.Want(testModel, 4, now)
 	table.RecordWeights("a", testModel, 3)
-	if table.HoldsOlder("a", testModel, 2, 1) {
+	if table.RecordOlderWeights("a", testModel, 2, 1) {
 		t.Error("a report superseded by newer weights was applied")
 	}
-	if !table.HoldsOlder("a", testModel, 3, 2) || table.Servers(now)[0].Weights[testModel] != 2 {
+	if !table.RecordOlderWeights("a", testModel, 3, 2) || table.Servers(now)[0].Weights[testModel] != 2 {
 		t.Errorf("weights %v, want version 2", table.Servers(now)[0].Weights)
 	}
 }
--- a/internal/replica/weights.go
+++ b/internal/replica/weights.go
@@ -130,7 +130,7 @@
 }
 
 // RecordWeights records weights that a server was seen to hold. Late reports of older weights are
-// ignored; see HoldsOlder. It reports whether the weights are new.
+// ignored; see RecordOlderWeights. It reports whether the weights are new.
 func (t *Table) RecordWeights(id, model string, version int64) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -143,9 +143,9 @@
 	return true
 }
 
-// HoldsOlder records that a server itself reports older weights than it was assumed to hold,
+// RecordOlderWeights records that a server itself reports older weights than it was assumed to hold,
 // unless its record has changed since. It reports whether the record was updated.
-func (t *Table) HoldsOlder(id, model string, assumed, version int64) bool {
+func (t *Table) RecordOlderWeights(id, model string, assumed, version int64) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.entries[id]
--- a/internal/rollout/loader.go
+++ b/internal/rollout/loader.go
@@ -28,9 +28,9 @@
 	Wanted(model string) int64
 	// RecordWeights records weights that a server holds, unless newer ones are recorded.
 	RecordWeights(id, model string, version int64) bool
-	// HoldsOlder records that a server reports older weights than the assumed ones, unless
+	// RecordOlderWeights records that a server reports older weights than the assumed ones, unless
 	// other weights have been recorded since. It reports whether it did.
-	HoldsOlder(id, model string, assumed, version int64) bool
+	RecordOlderWeights(id, model string, assumed, version int64) bool
 	// Loading marks a server as loading, so that it gets no requests until then.
 	Loading(id string, until time.Time)
 	// Waiting returns how many requests of all hosts wait at a server for their first event.
--- a/internal/rollout/loader_test.go
+++ b/internal/rollout/loader_test.go
@@ -88,7 +88,7 @@
 	return newer
 }
 
-func (f *fakeFleet) HoldsOlder(id, _ string, assumed, version int64) bool {
+func (f *fakeFleet) RecordOlderWeights(id, _ string, assumed, version int64) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.assumed[id] != assumed {
--- a/internal/rollout/verify.go
+++ b/internal/rollout/verify.go
@@ -47,7 +47,7 @@
 // was assumed to hold reports older ones: an order was executed after a newer one. The
 // replica keeps the older weights unless it is sent another load order.
 func (l *Loader) recordOlderWeights(id, model string, assumed, version int64) {
-	if !l.replicas.HoldsOlder(id, model, assumed, version) {
+	if !l.replicas.RecordOlderWeights(id, model, assumed, version) {
 		return
 	}
 	l.log.WithFields(logrus.Fields{"replica": id, "model": model, "believed": assumed, "version": version}).Warn("replica went back to older weights")
