--- a/internal/node/heard.go
+++ b/internal/node/heard.go
@@ -39,7 +39,7 @@
 	n.replicas.ApplySlowdowns(b.Host, b.Paces)
 	n.replicas.Suspect(b.Host, b.Down, now)
 	for _, id := range b.Loading {
-		n.replicas.Loading(id, now.Add(loadingTimeout))
+		n.replicas.MarkLoading(id, now.Add(loadingTimeout))
 	}
 	n.applyNamedVersions(b, now)
 	for _, w := range b.Weights {
--- a/internal/replica/table_test.go
+++ b/internal/replica/table_test.go
@@ -263,11 +263,11 @@
 	now := time.Now()
 	table.Want(testModel, 2, now)
 	loading := func() bool { return table.Snapshot(testService, testModel, 0, now)[0].Loading }
-	if table.Loading("a", now.Add(time.Second)); !loading() {
+	if table.MarkLoading("a", now.Add(time.Second)); !loading() {
 		t.Error("not loading")
 	}
 	table.RecordWeights("a", testModel, 2)
-	if table.Loading("a", now.Add(time.Second)); loading() {
+	if table.MarkLoading("a", now.Add(time.Second)); loading() {
 		t.Error("loading again")
 	}
 }
--- a/internal/replica/weights.go
+++ b/internal/replica/weights.go
@@ -166,10 +166,10 @@
 	t.newestHeld[key] = max(t.newestHeld[key], version)
 }
 
-// Loading records that a server is being commanded to load weights. It gets no requests
+// MarkLoading records that a server is being commanded to load weights. It gets no requests
 // until the given time, unless it is seen to hold the weights before. Late reports about a
 // server that already holds the wanted weights are ignored.
-func (t *Table) Loading(id string, until time.Time) {
+func (t *Table) MarkLoading(id string, until time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if e := t.entries[id]; e != nil && t.isOutdated(e) {
--- a/internal/rollout/loader.go
+++ b/internal/rollout/loader.go
@@ -31,8 +31,8 @@
 	// RecordOlderWeights records that a server reports older weights than the assumed ones, unless
 	// other weights have been recorded since. It reports whether it did.
 	RecordOlderWeights(id, model string, assumed, version int64) bool
-	// Loading marks a server as loading, so that it gets no requests until then.
-	Loading(id string, until time.Time)
+	// MarkLoading marks a server as loading, so that it gets no requests until then.
+	MarkLoading(id string, until time.Time)
 	// Waiting returns how many requests of all hosts wait at a server for their first event.
 	Waiting(id string, now time.Time) int
 	// Unsure returns the servers that have refused requests for the weights they were assumed
--- a/internal/rollout/loader_test.go
+++ b/internal/rollout/loader_test.go
@@ -98,7 +98,7 @@
 	return true
 }
 
-func (f *fakeFleet) Loading(id string, until time.Time) {
+func (f *fakeFleet) MarkLoading(id string, until time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.loading[id] = until
--- a/internal/rollout/order.go
+++ b/internal/rollout/order.go
@@ -103,7 +103,7 @@
 
 // markLoading keeps new requests of all hosts away from a replica for loadingMarkTTL.
 func (l *Loader) markLoading(t loadTarget) {
-	l.replicas.Loading(t.server.ID, clock.Now().Add(loadingMarkTTL))
+	l.replicas.MarkLoading(t.server.ID, clock.Now().Add(loadingMarkTTL))
 	l.Changed()
 }
 
