--- a/internal/replica/table.go
+++ b/internal/replica/table.go
@@ -425,8 +425,8 @@
 	}
 }
 
-// Waiting returns how many requests of all hosts at a server wait for their first event.
-func (t *Table) Waiting(id string, now time.Time) int {
+// WaitingRequests returns how many requests of all hosts at a server wait for their first event.
+func (t *Table) WaitingRequests(id string, now time.Time) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.entries[id]
--- a/internal/rollout/loader_test.go
+++ b/internal/rollout/loader_test.go
@@ -104,7 +104,7 @@
 	f.loading[id] = until
 }
 
-func (f *fakeFleet) Waiting(id string, _ time.Time) int {
+func (f *fakeFleet) WaitingRequests(id string, _ time.Time) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.prefilling[id]
--- a/internal/rollout/order.go
+++ b/internal/rollout/order.go
@@ -95,7 +95,7 @@
 		time.Sleep(drainPollInterval)
 		now := clock.Now()
 		drained := now.Sub(began)
-		if drained >= maxDrain || drained >= minDrain && l.replicas.Waiting(t.server.ID, now) == 0 {
+		if drained >= maxDrain || drained >= minDrain && l.replicas.WaitingRequests(t.server.ID, now) == 0 {
 			return
 		}
 	}
