--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -359,7 +359,7 @@
 			t.Fatal(err)
 		}
 		synctest.Wait()
-		unsure := table.Unsure(time.Now())
+		unsure := table.Unverified(time.Now())
 		if len(unsure) != 1 || unsure[0].Weights["m"] != 1 {
 			t.Errorf("unsure: %+v", unsure)
 		}
--- a/internal/replica/active_test.go
+++ b/internal/replica/active_test.go
@@ -28,7 +28,7 @@
 	t.Loads(now)
 	t.Working()
 	t.Broken()
-	t.Unsure(now)
+	t.Unverified(now)
 	t.Down(now)
 	t.JoinPaces()
 	t.Settle()
@@ -44,8 +44,8 @@
 		table.MarkUnsure("i-00003", "m", 1, now)
 		table.Reached("i-00004", false, now)
 		table.tick(now)
-		if len(table.active) != 4 || !table.Working() || len(table.Unsure(now)) != 1 {
-			t.Errorf("%d of %d servers are active, working %v, %d unverified", len(table.active), n, table.Working(), len(table.Unsure(now)))
+		if len(table.active) != 4 || !table.Working() || len(table.Unverified(now)) != 1 {
+			t.Errorf("%d of %d servers are active, working %v, %d unverified", len(table.active), n, table.Working(), len(table.Unverified(now)))
 		}
 		if down, _ := table.Down(now); len(down) != 1 {
 			t.Errorf("down servers: %v", down)
--- a/internal/replica/weights.go
+++ b/internal/replica/weights.go
@@ -207,7 +207,7 @@
 	t.log.WithFields(logrus.Fields{"replica": id, "weights": weightsText(model, version)}).Info("replica holds other weights than believed")
 }
 
-// Unsure returns the servers to ask which weights they hold, ordered by ID.
-func (t *Table) Unsure(now time.Time) []Server {
+// Unverified returns the servers to ask which weights they hold, ordered by ID.
+func (t *Table) Unverified(now time.Time) []Server {
 	return t.servers(t.active, now, func(e *entry) bool { return now.Before(e.unverifiedUntil) })
 }
--- a/internal/rollout/loader.go
+++ b/internal/rollout/loader.go
@@ -35,9 +35,9 @@
 	MarkLoading(id string, until time.Time)
 	// WaitingRequests returns how many requests of all hosts wait at a server for their first event.
 	WaitingRequests(id string, now time.Time) int
-	// Unsure returns the servers that have refused requests for the weights they were assumed
+	// Unverified returns the servers that have refused requests for the weights they were assumed
 	// to hold, and whose weights are to be verified.
-	Unsure(now time.Time) []replica.Server
+	Unverified(now time.Time) []replica.Server
 }
 
 const (
--- a/internal/rollout/loader_test.go
+++ b/internal/rollout/loader_test.go
@@ -30,7 +30,7 @@
 	down map[string]bool
 	// suspected replicas are those that another host assumes to be down.
 	suspected  map[string]bool
-	unsure     map[string]bool
+	unverified map[string]bool
 	loadingNow int
 	maxLoading int
 	// harmfulOrders counts the orders that a replica got during prefills, and adds 1000 for
@@ -110,10 +110,10 @@
 	return f.prefilling[id]
 }
 
-func (f *fakeFleet) Unsure(now time.Time) []replica.Server {
+func (f *fakeFleet) Unverified(now time.Time) []replica.Server {
 	var out []replica.Server
 	for _, s := range f.Servers(now) {
-		if f.unsure[s.ID] {
+		if f.unverified[s.ID] {
 			out = append(out, s)
 		}
 	}
@@ -375,8 +375,8 @@
 
 // runVerify runs Verify for a second, with one replica that has refused requests for the
 // weights that it was assumed to hold, and returns the loader.
-func runVerify(t *testing.T, fleet *fakeFleet, unsure string) *Loader {
-	fleet.unsure = map[string]bool{unsure: true}
+func runVerify(t *testing.T, fleet *fakeFleet, unverified string) *Loader {
+	fleet.unverified = map[string]bool{unverified: true}
 	ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 	defer cancel()
 	loader := NewLoader(nil, fleet, fleet, quietLog(), "a", platform.LoadQueue, 2)
--- a/internal/rollout/verify.go
+++ b/internal/rollout/verify.go
@@ -19,7 +19,7 @@
 // with weights that no host expects.
 func (l *Loader) Verify(ctx context.Context) {
 	clock.Every(ctx, verifyInterval, func() {
-		for _, s := range l.replicas.Unsure(clock.Now()) {
+		for _, s := range l.replicas.Unverified(clock.Now()) {
 			l.verify(ctx, s)
 		}
 	})
