--- a/internal/dispatch/answer.go
+++ b/internal/dispatch/answer.go
@@ -39,7 +39,7 @@
 	}
 	// The answer does not state which weights the replica holds. Newer ones may have been
 	// requested while a delayed load command was carried out, so the version is not guessed.
-	d.replicas.MarkUnsure(choice.ID, model, choice.Weights, clock.Now())
+	d.replicas.MarkUnverified(choice.ID, model, choice.Weights, clock.Now())
 }
 
 // forwardBuffered reads the answer to its end before any of it is forwarded, so that the
--- a/internal/replica/active_test.go
+++ b/internal/replica/active_test.go
@@ -41,7 +41,7 @@
 	for _, n := range []int{400, 1600} {
 		table, now := manyServers(n), time.Unix(1000, 0)
 		flights := []*Flight{table.Begin("i-00001", Work{}, now), table.Begin("i-00002", Work{}, now)}
-		table.MarkUnsure("i-00003", "m", 1, now)
+		table.MarkUnverified("i-00003", "m", 1, now)
 		table.Reached("i-00004", false, now)
 		table.tick(now)
 		if len(table.active) != 4 || !table.Working() || len(table.Unverified(now)) != 1 {
--- a/internal/replica/weights.go
+++ b/internal/replica/weights.go
@@ -192,9 +192,9 @@
 // milliseconds old.
 const unverifiedTimeout = time.Second
 
-// MarkUnsure records that a server refused a request for weights that it was assumed to
+// MarkUnverified records that a server refused a request for weights that it was assumed to
 // hold. Until it reports which weights it holds, it would refuse every further request.
-func (t *Table) MarkUnsure(id, model string, version int64, now time.Time) {
+func (t *Table) MarkUnverified(id, model string, version int64, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.entries[id]
