--- a/internal/node/loops.go
+++ b/internal/node/loops.go
@@ -234,7 +234,7 @@
 	m.Hosts.Update(float64(v.Live))
 	m.RoutingHosts.Update(float64(len(v.Routing)))
 	m.Replicas.Update(float64(n.replicas.Count()))
-	outdated, longest := n.replicas.Lacking(now)
+	outdated, longest := n.replicas.OutdatedStats(now)
 	m.Lacking.Update(float64(outdated))
 	m.LackingAge.Update(longest.Seconds())
 	_, _, here := n.lease.Holder()
--- a/internal/replica/lagging.go
+++ b/internal/replica/lagging.go
@@ -46,9 +46,9 @@
 	return out
 }
 
-// Lacking returns how many servers have outdated weights, and for how long the one that is
+// OutdatedStats returns how many servers have outdated weights, and for how long the one that is
 // outdated longest is known to be.
-func (t *Table) Lacking(now time.Time) (servers int, longest time.Duration) {
+func (t *Table) OutdatedStats(now time.Time) (servers int, longest time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, id := range t.outdatedIDs() {
--- a/internal/replica/lagging_test.go
+++ b/internal/replica/lagging_test.go
@@ -42,7 +42,7 @@
 			if !slices.Equal(got, want) {
 				t.Fatalf("outdated servers %v, want %v", got, want)
 			}
-			if n, _ := table.Lacking(now); n != len(want) {
+			if n, _ := table.OutdatedStats(now); n != len(want) {
 				t.Fatalf("%d outdated servers, want %v", n, want)
 			}
 		}
--- a/internal/replica/table_test.go
+++ b/internal/replica/table_test.go
@@ -75,14 +75,14 @@
 	table.Want(testModel, 2, start)
 	table.RecordWeights("a", testModel, 2)
 	table.Want(testModel, 3, start.Add(3*time.Second))
-	n, longest := table.Lacking(start.Add(8 * time.Second))
+	n, longest := table.OutdatedStats(start.Add(8 * time.Second))
 	if n != 3 || longest != 8*time.Second {
 		t.Errorf("%d outdated, the longest for %v; want 3, for 8s", n, longest)
 	}
 	for _, id := range []string{"a", "b", "c"} {
 		table.RecordWeights(id, testModel, 3)
 	}
-	if n, longest := table.Lacking(start.Add(9 * time.Second)); n != 0 || longest != 0 {
+	if n, longest := table.OutdatedStats(start.Add(9 * time.Second)); n != 0 || longest != 0 {
 		t.Errorf("%d outdated, the longest for %v; want none", n, longest)
 	}
 }
