--- a/internal/node/gossip.go
+++ b/internal/node/gossip.go
@@ -170,7 +170,7 @@
 	}
 	b.Loading = n.loader.Busy()
 	b.Down, _ = n.replicas.Down(now)
-	b.Named = n.replicas.Named(now)
+	b.Named = n.replicas.NamedVersions(now)
 	if n.canaryLease.Valid() {
 		b.MovePermits = n.canaries.Permits(n.canaryLease.Fencing(), now)
 	}
--- a/internal/replica/lagging.go
+++ b/internal/replica/lagging.go
@@ -66,9 +66,9 @@
 	return servers, longest
 }
 
-// Named returns the versions that are newer than those of some server and whose naming time
+// NamedVersions returns the versions that are newer than those of some server and whose naming time
 // is known. A host that has just started depends on these reports of other hosts.
-func (t *Table) Named(now time.Time) []*pb.NamedWeights {
+func (t *Table) NamedVersions(now time.Time) []*pb.NamedWeights {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []*pb.NamedWeights
--- a/internal/replica/weights_test.go
+++ b/internal/replica/weights_test.go
@@ -10,7 +10,7 @@
 
 // reportedAge returns the age that a table reports for a version, or -1 if it reports none.
 func reportedAge(t *Table, version int64, now time.Time) time.Duration {
-	for _, w := range t.Named(now) {
+	for _, w := range t.NamedVersions(now) {
 		if w.Model == testModel && w.Version == version {
 			return time.Duration(w.AgeMs) * time.Millisecond
 		}
@@ -33,10 +33,10 @@
 		t.Errorf("a version with unknown naming time is reported as named %v ago", got)
 	}
 	for range 5 {
-		for _, w := range observer.Named(at(4)) {
+		for _, w := range observer.NamedVersions(at(4)) {
 			restarted.ApplyNamed(w, at(5))
 		}
-		for _, w := range restarted.Named(at(5)) {
+		for _, w := range restarted.NamedVersions(at(5)) {
 			observer.ApplyNamed(w, at(6))
 		}
 	}
@@ -68,7 +68,7 @@
 	observer.Want(testModel, 2, start)
 	observer.Want(testModel, 3, start.Add(3*time.Second))
 	restarted.Find(testModel, 3, now)
-	for _, w := range observer.Named(now) {
+	for _, w := range observer.NamedVersions(now) {
 		if restarted.ApplyNamed(w, now) {
 			t.Errorf("version %d is reported as newer than the newest", w.Version)
 		}
@@ -97,7 +97,7 @@
 	for _, id := range []string{"a", "b"} {
 		observer.RecordWeights(id, testModel, 3)
 	}
-	if got := observer.Named(now); len(got) != 0 {
+	if got := observer.NamedVersions(now); len(got) != 0 {
 		t.Errorf("still reported: %v", got)
 	}
 }
