--- a/internal/node/beliefs.go
+++ b/internal/node/beliefs.go
@@ -45,7 +45,7 @@
 	}
 	want := n.replicas.Want
 	if from.First {
-		want = n.replicas.Find
+		want = n.replicas.WantFound
 	}
 	if want(w.Model, w.Version, clock.Now()) {
 		n.log.WithFields(logrus.Fields{"model": w.Model, "version": w.Version, "offset": rec.Offset}).Info("weights wanted")
--- a/internal/replica/weights.go
+++ b/internal/replica/weights.go
@@ -45,8 +45,8 @@
 	return t.want(model, wantedVersion{version: version, since: now, exactSince: true}, false)
 }
 
-// Find is Want for a version whose naming time is unknown.
-func (t *Table) Find(model string, version int64, now time.Time) bool {
+// WantFound is Want for a version whose naming time is unknown.
+func (t *Table) WantFound(model string, version int64, now time.Time) bool {
 	return t.want(model, wantedVersion{version: version, since: now}, false)
 }
 
--- a/internal/replica/weights_test.go
+++ b/internal/replica/weights_test.go
@@ -27,7 +27,7 @@
 	at := func(s time.Duration) time.Time { return start.Add(s * time.Second) }
 	observer, restarted := newTestTable("a"), newTestTable("a")
 	observer.Want(testModel, 2, at(0))
-	restarted.Find(testModel, 2, at(3))
+	restarted.WantFound(testModel, 2, at(3))
 	restarted.Want(testModel, 2, at(4))
 	if got := reportedAge(restarted, 2, at(4)); got != -1 {
 		t.Errorf("a version with unknown naming time is reported as named %v ago", got)
@@ -67,7 +67,7 @@
 	observer, restarted := newTestTable("a", "b"), newTestTable("a", "b")
 	observer.Want(testModel, 2, start)
 	observer.Want(testModel, 3, start.Add(3*time.Second))
-	restarted.Find(testModel, 3, now)
+	restarted.WantFound(testModel, 3, now)
 	for _, w := range observer.NamedVersions(now) {
 		if restarted.ApplyNamed(w, now) {
 			t.Errorf("version %d is reported as newer than the newest", w.Version)
@@ -86,7 +86,7 @@
 	// was held nor that some replica has outdated weights.
 	alone := newTestTable("a")
 	alone.Known = func(service string) bool { return service == testService }
-	alone.Find(testModel, 2, start)
+	alone.WantFound(testModel, 2, start)
 	alone.Register(platform.Registration{ID: "z", Service: "other", Weights: map[string]int64{testModel: 9}}, 9)
 	if got := alone.Snapshot(testService, testModel, 1000, now)[0].Behind; got != 8*time.Second {
 		t.Errorf("behind for %v beside another service's entry, want 8s", got)
