--- a/internal/node/gossip.go
+++ b/internal/node/gossip.go
@@ -166,7 +166,7 @@
 	b.Uses = n.limiter.Changes(now)
 	b.Crashes = n.crashes.Changes(now, atInterval)
 	if atInterval {
-		b.Paces = n.replicas.Paces()
+		b.Paces = n.replicas.Slowdowns()
 	}
 	b.Loading = n.loader.Busy()
 	b.Down, _ = n.replicas.Down(now)
--- a/internal/replica/pace.go
+++ b/internal/replica/pace.go
@@ -91,9 +91,9 @@
 	return 1
 }
 
-// Paces returns the slowdowns that this host measured of some servers, in turn, for the
+// Slowdowns returns the slowdowns that this host measured of some servers, in turn, for the
 // other hosts.
-func (t *Table) Paces() []*pb.ReplicaPace {
+func (t *Table) Slowdowns() []*pb.ReplicaPace {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var ids []string
--- a/internal/replica/pace_test.go
+++ b/internal/replica/pace_test.go
@@ -109,7 +109,7 @@
 	}
 	heartbeats := 0
 	for reported := map[string]bool{}; len(reported) < len(ids); heartbeats++ {
-		reports := here.Paces()
+		reports := here.Slowdowns()
 		if len(reports) > slowdownsPerHeartbeat || heartbeats > len(ids) {
 			t.Fatalf("%d slowdowns in a heartbeat, %d reported in %d", len(reports), len(reported), heartbeats)
 		}
