--- a/internal/node/loops.go
+++ b/internal/node/loops.go
@@ -120,7 +120,7 @@
 		if n.access.Stable(now) {
 			n.replicas.Settle()
 		}
-		n.replicas.JoinPaces()
+		n.replicas.MergeSlowdowns()
 		n.updateRetryBudget(now)
 		n.logEndedEpisodes(now)
 		n.crashes.Expire(now)
--- a/internal/replica/active_test.go
+++ b/internal/replica/active_test.go
@@ -30,7 +30,7 @@
 	t.Broken()
 	t.Unverified(now)
 	t.Down(now)
-	t.JoinPaces()
+	t.MergeSlowdowns()
 	t.Settle()
 }
 
--- a/internal/replica/pace.go
+++ b/internal/replica/pace.go
@@ -115,9 +115,9 @@
 	return out
 }
 
-// JoinPaces merges the slowdowns that all hosts measured, so that routing decisions need not
+// MergeSlowdowns merges the slowdowns that all hosts measured, so that routing decisions need not
 // do so for each server.
-func (t *Table) JoinPaces() {
+func (t *Table) MergeSlowdowns() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.serviceSlowdowns = map[string]slowdown{}
--- a/internal/replica/pace_test.go
+++ b/internal/replica/pace_test.go
@@ -24,7 +24,7 @@
 }
 
 func slowdownNow(table *Table, id string, now time.Time) float64 {
-	table.JoinPaces()
+	table.MergeSlowdowns()
 	for _, r := range table.Snapshot(testService, testModel, 1000, now) {
 		if r.ID == id {
 			return r.Pace
@@ -89,7 +89,7 @@
 		f.First(now.Add(60 * time.Millisecond))
 		f.End(Answered, now.Add(60*time.Millisecond))
 	}
-	table.JoinPaces()
+	table.MergeSlowdowns()
 	if got := table.Snapshot("jobs", "", 0, now)[0].Pace; got != 2 {
 		t.Errorf("slowdown %.2f, want 2", got)
 	}
