--- a/internal/replica/flight.go
+++ b/internal/replica/flight.go
@@ -17,11 +17,11 @@
 	Expected time.Duration
 	Reading  time.Duration
 	// Own is the expected service time of the request alone at a server of slowdown 1, and
-	// Pace the slowdown that Expected was computed with. Engine is set if the server is an
+	// Slowdown the slowdown that Expected was computed with. Engine is set if the server is an
 	// engine.
-	Own    time.Duration
-	Pace   float64
-	Engine bool
+	Own      time.Duration
+	Slowdown float64
+	Engine   bool
 	// Digest identifies the request.
 	Digest quarantine.Digest
 }
--- a/internal/replica/pace.go
+++ b/internal/replica/pace.go
@@ -70,7 +70,7 @@
 	if own <= 0 || f.work.Engine && own < minEngineTime {
 		return false
 	}
-	if float64(f.work.Expected)*minOwnShare > float64(own)*max(1, f.work.Pace) {
+	if float64(f.work.Expected)*minOwnShare > float64(own)*max(1, f.work.Slowdown) {
 		return false
 	}
 	e.slowdownSamples.add(float64(actual) / float64(own))
