--- a/internal/replica/flight.go
+++ b/internal/replica/flight.go
@@ -12,10 +12,10 @@
 	// memory until the request ends.
 	Prefill int
 	Memory  int
-	// Expected is the time to the first event; Reading is the part of it that is spent on
+	// Expected is the time to the first event; PrefillTime is the part of it that is spent on
 	// the prefill of the request itself.
-	Expected time.Duration
-	Reading  time.Duration
+	Expected    time.Duration
+	PrefillTime time.Duration
 	// Own is the expected service time of the request alone at a server of slowdown 1, and
 	// Slowdown the slowdown that Expected was computed with. Engine is set if the server is an
 	// engine.
@@ -100,11 +100,11 @@
 		return 0
 	}
 	total := float64(f.work.Prefill)
-	prefillStart := f.start.Add(f.work.Expected - f.work.Reading)
-	if f.work.Reading <= 0 || now.Before(prefillStart) {
+	prefillStart := f.start.Add(f.work.Expected - f.work.PrefillTime)
+	if f.work.PrefillTime <= 0 || now.Before(prefillStart) {
 		return total
 	}
-	done := float64(now.Sub(prefillStart)) / float64(f.work.Reading)
+	done := float64(now.Sub(prefillStart)) / float64(f.work.PrefillTime)
 	return total * max(minPendingShare, 1-done)
 }
 
--- a/internal/replica/restart_test.go
+++ b/internal/replica/restart_test.go
@@ -25,7 +25,7 @@
 	now := time.Now()
 	table.Register(registrationOf(1000, 3), 0)
 	table.SetLoads("other", []*pb.ReplicaLoad{{Replica: "a", Requests: 5, PrefillTokens: 900, Ended: 10, Failed: 10}, {Replica: "b", Requests: 1}}, now)
-	flight := table.Begin("a", Work{Prefill: 4000, Memory: 5000, Expected: time.Second, Reading: time.Second}, now)
+	flight := table.Begin("a", Work{Prefill: 4000, Memory: 5000, Expected: time.Second, PrefillTime: time.Second}, now)
 	table.Begin("a", Work{}, now).End(Unreachable, now)
 	draining := registrationOf(1000, 3)
 	draining.Draining = true
--- a/internal/replica/table_test.go
+++ b/internal/replica/table_test.go
@@ -213,7 +213,7 @@
 func TestPendingPrefillFallsWithTime(t *testing.T) {
 	table := newTestTable("a")
 	start := time.Now()
-	f := table.Begin("a", Work{Prefill: 1000, Memory: 1200, Expected: 300 * time.Millisecond, Reading: 200 * time.Millisecond}, start)
+	f := table.Begin("a", Work{Prefill: 1000, Memory: 1200, Expected: 300 * time.Millisecond, PrefillTime: 200 * time.Millisecond}, start)
 	for _, c := range []struct {
 		after time.Duration
 		want  int
--- a/internal/schedule/schedule_test.go
+++ b/internal/schedule/schedule_test.go
@@ -130,7 +130,7 @@
 	now := time.Now()
 	first := pick(t, s, request(open, "p"), now)
 	s.Read(first, now)
-	table.Begin(first.ID, replica.Work{Prefill: 90_000, Memory: 90_000, Expected: 2 * time.Second, Reading: 2 * time.Second}, now)
+	table.Begin(first.ID, replica.Work{Prefill: 90_000, Memory: 90_000, Expected: 2 * time.Second, PrefillTime: 2 * time.Second}, now)
 	if c := pick(t, s, request(open, "p"), now); c.ID == first.ID || c.Source != first.ID || c.Fetched != 13_000 {
 		t.Errorf("went to %s, %d tokens from %q", c.ID, c.Fetched, c.Source)
 	}
