--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -186,8 +186,8 @@
 
 func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// Reading returns the prefill time of that many tokens at an engine without slowdown.
-func (p Policy) Reading(tokens int) time.Duration {
+// PrefillTime returns the prefill time of that many tokens at an engine without slowdown.
+func (p Policy) PrefillTime(tokens int) time.Duration {
 	n := float64(tokens)
 	return time.Duration((n/p.PrefillTokensPerMs + n*n/2/p.AttentionPairsPerMs) * float64(time.Millisecond))
 }
--- a/internal/route/score.go
+++ b/internal/route/score.go
@@ -50,7 +50,7 @@
 	if c.CacheTokens == 0 {
 		return plainServiceMs
 	}
-	prefill := millis(p.Reading(req.PromptTokens - c.Cached - c.Fetched))
+	prefill := millis(p.PrefillTime(req.PromptTokens - c.Cached - c.Fetched))
 	return prefill + stepsToFirstEvent*(stepMs+stepMsPerRequest*float64(c.Requests))
 }
 
