--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -62,9 +62,9 @@
 type Candidate struct {
 	Replica
 	// Cached is the number of prompt tokens in the replica's own KV cache. It includes
-	// Reading, the tokens that the replica is prefilling for another request.
-	Cached  int
-	Reading int
+	// Prefilling, the tokens that the replica is prefilling for another request.
+	Cached     int
+	Prefilling int
 	// Fetched is the number of further prompt tokens that the replica would fetch from
 	// Source. The fetch takes FetchTime, of which Transfer is spent on network links.
 	Fetched   int
--- a/internal/schedule/schedule.go
+++ b/internal/schedule/schedule.go
@@ -305,7 +305,7 @@
 // holdTime returns how long the request should wait for the replica to finish the prefill of
 // shared prefix blocks.
 func (s *Scheduler) holdTime(c *Choice, now time.Time) time.Duration {
-	if c.Reading < minHoldTokens {
+	if c.Prefilling < minHoldTokens {
 		return 0
 	}
 	return s.index.ReadyAt(c.ID, c.prompt).Sub(now) + holdMargin
--- a/internal/schedule/sources.go
+++ b/internal/schedule/sources.go
@@ -35,7 +35,7 @@
 	for i := range candidates {
 		c := &candidates[i]
 		held, prefilled := s.index.Held(c.ID, prompt(c.Weights), now)
-		c.Cached, c.Reading = held, held-prefilled
+		c.Cached, c.Prefilling = held, held-prefilled
 		if prefilled >= minFetchTokens && !s.Off[mechanism.ReplicaFetch] && c.Usable && !c.Doubted && !c.Trial && !c.Loading && c.Silence < maxSourceSilence {
 			sources = append(sources, source{c, prefilled})
 		}
