--- a/internal/replica/flight.go
+++ b/internal/replica/flight.go
@@ -16,12 +16,12 @@
 	// the prefill of the request itself.
 	Expected    time.Duration
 	PrefillTime time.Duration
-	// Own is the expected service time of the request alone at a server of slowdown 1, and
+	// ServiceTime is the expected service time of the request alone at a server of slowdown 1, and
 	// Slowdown the slowdown that Expected was computed with. Engine is set if the server is an
 	// engine.
-	Own      time.Duration
-	Slowdown float64
-	Engine   bool
+	ServiceTime time.Duration
+	Slowdown    float64
+	Engine      bool
 	// Digest identifies the request.
 	Digest quarantine.Digest
 }
--- a/internal/replica/pace.go
+++ b/internal/replica/pace.go
@@ -66,7 +66,7 @@
 // recordSlowdown records the slowdown that an answer shows, and reports whether it shows
 // one.
 func (e *entry) recordSlowdown(f *Flight, actual time.Duration) bool {
-	own := f.work.Own
+	own := f.work.ServiceTime
 	if own <= 0 || f.work.Engine && own < minEngineTime {
 		return false
 	}
--- a/internal/replica/pace_test.go
+++ b/internal/replica/pace_test.go
@@ -15,7 +15,7 @@
 // the expected time including the queue, and the measured time.
 func recordAnswer(t *testing.T, table *Table, id string, own, expected, took time.Duration, now time.Time) {
 	t.Helper()
-	f := table.Begin(id, Work{Prefill: 1000, Expected: expected, Own: own, Slowdown: 1, Engine: true}, now)
+	f := table.Begin(id, Work{Prefill: 1000, Expected: expected, ServiceTime: own, Slowdown: 1, Engine: true}, now)
 	if f == nil {
 		t.Fatal("request not accepted")
 	}
@@ -85,7 +85,7 @@
 	table, now := NewTable(quietLog(), func(string, string) {}), time.Now()
 	table.Register(platform.Registration{ID: "jobs", Service: "jobs", Address: "10.0.0.1:1", Slots: 6}, 0)
 	for range 4 {
-		f := table.Begin("jobs", Work{Expected: 30 * time.Millisecond, Own: 30 * time.Millisecond, Slowdown: 1}, now)
+		f := table.Begin("jobs", Work{Expected: 30 * time.Millisecond, ServiceTime: 30 * time.Millisecond, Slowdown: 1}, now)
 		f.First(now.Add(60 * time.Millisecond))
 		f.End(Answered, now.Add(60*time.Millisecond))
 	}
