--- a/internal/dispatch/admission.go
+++ b/internal/dispatch/admission.go
@@ -74,11 +74,11 @@
 		return nil
 	}
 	limit := time.Duration(maxUrgentWaitTargets * float64(s.UrgentTarget))
-	if choice.Waiting <= limit {
+	if choice.QueueTime <= limit {
 		return nil
 	}
 	return errkind.New(errkind.Overloaded, fmt.Sprintf("the wait is expected to be %d ms, and %d ms are left to more urgent requests",
-		choice.Waiting.Milliseconds(), limit.Milliseconds())).After(max(minRetryAfter, choice.Waiting))
+		choice.QueueTime.Milliseconds(), limit.Milliseconds())).After(max(minRetryAfter, choice.QueueTime))
 }
 
 // maxExpected returns the longest expected time to the first event at which a streaming
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -95,9 +95,9 @@
 	Candidate
 	// Expected is the time to the first event, or to a plain service's answer.
 	Expected time.Duration
-	// Waiting is the part of Expected that the request is queued behind others. ServiceTime is the
+	// QueueTime is the part of Expected that the request is queued behind others. ServiceTime is the
 	// service time of the request itself at a replica with a slowdown of 1.
-	Waiting     time.Duration
+	QueueTime   time.Duration
 	ServiceTime time.Duration
 	// Considered is the number of candidates that passed the filters.
 	Considered int
@@ -160,7 +160,7 @@
 		rank := affinityRank(req.Affinity, c.ID)
 		if best.ID == "" || p.better(req, score, rank, best.Score, bestRank) {
 			best = Decision{
-				Candidate: *c, Expected: duration(expected), Waiting: duration(p.waiting(req, c)), ServiceTime: duration(p.serviceTime(req, c)),
+				Candidate: *c, Expected: duration(expected), QueueTime: duration(p.waiting(req, c)), ServiceTime: duration(p.serviceTime(req, c)),
 				Considered: best.Considered, Score: score,
 			}
 			bestRank = rank
--- a/internal/schedule/schedule.go
+++ b/internal/schedule/schedule.go
@@ -191,7 +191,7 @@
 		return decision, err
 	case err != nil:
 		return s.decide(req, allowed(s.replicas.Snapshot(req.Service.Name, req.Model, capacity, now), side), prompts, now)
-	case float64(decision.Waiting) <= busyTargets*float64(req.Target):
+	case float64(decision.QueueTime) <= busyTargets*float64(req.Target):
 		return decision, nil
 	}
 	others, _ := s.replicas.Candidates(req.Service.Name, req.Model, rand.Uint64(), capacity, now)
