--- a/internal/replica/flight.go
+++ b/internal/replica/flight.go
@@ -135,8 +135,8 @@
 	}
 }
 
-// Silence returns how long the server has owed an answer without any liveness signal.
-func (f *Flight) Silence(now time.Time) time.Duration {
+// UnresponsiveFor returns how long the server has owed an answer without any liveness signal.
+func (f *Flight) UnresponsiveFor(now time.Time) time.Duration {
 	f.table.mu.Lock()
 	defer f.table.mu.Unlock()
 	return f.entry.unresponsiveFor(now)
--- a/internal/replica/table_test.go
+++ b/internal/replica/table_test.go
@@ -199,11 +199,11 @@
 	slow := table.Begin("a", work, start)
 	other := table.Begin("a", work, start)
 	at := start.Add(time.Second)
-	if got := slow.Silence(at); got != 900*time.Millisecond {
+	if got := slow.UnresponsiveFor(at); got != 900*time.Millisecond {
 		t.Errorf("silence %v, want 900ms", got)
 	}
 	other.First(at)
-	if got := slow.Silence(at.Add(50 * time.Millisecond)); got != 50*time.Millisecond {
+	if got := slow.UnresponsiveFor(at.Add(50 * time.Millisecond)); got != 50*time.Millisecond {
 		t.Errorf("silence after an answer %v, want 50ms", got)
 	}
 }
