--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -66,11 +66,11 @@
 	Cached     int
 	Prefilling int
 	// Fetched is the number of further prompt tokens that the replica would fetch from
-	// Source. The fetch takes FetchTime, of which Transfer is spent on network links.
-	Fetched   int
-	Source    string
-	FetchTime time.Duration
-	Transfer  time.Duration
+	// Source. The fetch takes FetchTime, of which TransferTime is spent on network links.
+	Fetched      int
+	Source       string
+	FetchTime    time.Duration
+	TransferTime time.Duration
 }
 
 // Request holds the properties of a request that the decision depends on.
--- a/internal/schedule/schedule.go
+++ b/internal/schedule/schedule.go
@@ -294,7 +294,7 @@
 	if len(shared) > 0 {
 		c.stablePrefix = shared[len(shared)-1]
 	}
-	s.links.reserve(c.Source, c.ID, c.Transfer, now)
+	s.links.reserve(c.Source, c.ID, c.TransferTime, now)
 	if s.worthSaving(req, c, now) {
 		c.Sink = req.Store.Address
 		c.saveTime = transferTime(req.Service.Engine, req.Store.LinkMbps, prefill, req.Store.AvailabilityZone != c.AvailabilityZone)
--- a/internal/schedule/sent.go
+++ b/internal/schedule/sent.go
@@ -24,7 +24,7 @@
 	s.reuse.record(c.sharingScope, c.stablePrefix, now)
 	sent := &pb.PrefixSent{
 		Replica: c.ID, ReadyMs: int32(c.Expected.Milliseconds()), Sharers: c.sharingScope, Prefix: uint64(c.stablePrefix),
-		Source: c.Source, FetchMs: int32(c.Transfer.Milliseconds()), Sink: c.Sink, SaveMs: int32(c.saveTime.Milliseconds()),
+		Source: c.Source, FetchMs: int32(c.TransferTime.Milliseconds()), Sink: c.Sink, SaveMs: int32(c.saveTime.Milliseconds()),
 	}
 	for i, block := range c.prompt.Parts {
 		sent.Parts = append(sent.Parts, uint64(block))
--- a/internal/schedule/sources.go
+++ b/internal/schedule/sources.go
@@ -79,7 +79,7 @@
 	if fetchTime > maxFetchTime || tokens == c.Fetched && fetchTime >= c.FetchTime {
 		return
 	}
-	c.Fetched, c.Source, c.FetchTime, c.Transfer = tokens, address, fetchTime, transfer
+	c.Fetched, c.Source, c.FetchTime, c.TransferTime = tokens, address, fetchTime, transfer
 }
 
 // transferTime returns the duration of a transfer of the tokens' KV cache over the slower of
