--- a/internal/dispatch/answer.go
+++ b/internal/dispatch/answer.go
@@ -54,7 +54,7 @@
 		}
 		return replica.Lost, errkind.Wrap(errkind.BackendLost, err, "the answer was cut")
 	}
-	x.choice.Flight.First(now)
+	x.choice.Flight.AnswerStarted(now)
 	x.report.First = now.Sub(x.run.began)
 	header := platform.AnswerHeaders(resp.Header)
 	if resp.Status >= http.StatusInternalServerError {
@@ -105,7 +105,7 @@
 
 func (x *exchange) forwardEvent(resp *upstream.Response, ev event) error {
 	now := clock.Now()
-	x.choice.Flight.First(now)
+	x.choice.Flight.AnswerStarted(now)
 	if !x.started {
 		x.started = true
 		x.unwatchQuarantine()
--- a/internal/replica/active_test.go
+++ b/internal/replica/active_test.go
@@ -51,7 +51,7 @@
 			t.Errorf("down servers: %v", down)
 		}
 		for _, f := range flights {
-			f.First(now)
+			f.AnswerStarted(now)
 			f.End(Answered, now)
 		}
 		table.tick(now)
@@ -61,7 +61,7 @@
 		later := now.Add(time.Minute)
 		table.Reached("i-00004", true, later)
 		trial := table.Begin("i-00004", Work{}, later)
-		trial.First(later)
+		trial.AnswerStarted(later)
 		trial.End(Answered, later)
 		later = later.Add(time.Minute)
 		table.tick(later)
--- a/internal/replica/crash_test.go
+++ b/internal/replica/crash_test.go
@@ -98,7 +98,7 @@
 	for name, later := range map[string]func(*crashFixture){
 		"answers": func(w *crashFixture) {
 			f := w.Begin("a", Work{Digest: 9}, now.Add(time.Millisecond))
-			f.First(now.Add(2 * time.Millisecond))
+			f.AnswerStarted(now.Add(2 * time.Millisecond))
 			f.End(Answered, now.Add(3*time.Millisecond))
 			w.ConnectionRefused("a", crashAddress, now.Add(time.Second))
 		},
--- a/internal/replica/failures_test.go
+++ b/internal/replica/failures_test.go
@@ -13,7 +13,7 @@
 		f := table.Begin(id, Work{Expected: 200 * time.Millisecond}, now)
 		now = now.Add(400 * time.Millisecond)
 		if i%3 != 0 {
-			f.First(now)
+			f.AnswerStarted(now)
 			f.End(Answered, now)
 		}
 	}
@@ -41,7 +41,7 @@
 	for range 5 {
 		now = now.Add(200 * time.Millisecond)
 		quick := table.Begin("a", Work{Expected: 50 * time.Millisecond}, now.Add(-50*time.Millisecond))
-		quick.First(now)
+		quick.AnswerStarted(now)
 		quick.End(Answered, now)
 	}
 	if slow.Lost() {
--- a/internal/replica/flight.go
+++ b/internal/replica/flight.go
@@ -62,8 +62,8 @@
 	return f
 }
 
-// First records the head of the answer or the first event of a stream: the prefill is done.
-func (f *Flight) First(now time.Time) {
+// AnswerStarted records the head of the answer or the first event of a stream: the prefill is done.
+func (f *Flight) AnswerStarted(now time.Time) {
 	f.table.mu.Lock()
 	defer f.table.mu.Unlock()
 	if f.answerStarted {
--- a/internal/replica/pace_test.go
+++ b/internal/replica/pace_test.go
@@ -19,7 +19,7 @@
 	if f == nil {
 		t.Fatal("request not accepted")
 	}
-	f.First(now.Add(took))
+	f.AnswerStarted(now.Add(took))
 	f.End(Answered, now.Add(took))
 }
 
@@ -86,7 +86,7 @@
 	table.Register(platform.Registration{ID: "jobs", Service: "jobs", Address: "10.0.0.1:1", Slots: 6}, 0)
 	for range 4 {
 		f := table.Begin("jobs", Work{Expected: 30 * time.Millisecond, ServiceTime: 30 * time.Millisecond, Slowdown: 1}, now)
-		f.First(now.Add(60 * time.Millisecond))
+		f.AnswerStarted(now.Add(60 * time.Millisecond))
 		f.End(Answered, now.Add(60*time.Millisecond))
 	}
 	table.MergeSlowdowns()
--- a/internal/replica/table_test.go
+++ b/internal/replica/table_test.go
@@ -202,7 +202,7 @@
 	if got := slow.UnresponsiveFor(at); got != 900*time.Millisecond {
 		t.Errorf("silence %v, want 900ms", got)
 	}
-	other.First(at)
+	other.AnswerStarted(at)
 	if got := slow.UnresponsiveFor(at.Add(50 * time.Millisecond)); got != 50*time.Millisecond {
 		t.Errorf("silence after an answer %v, want 50ms", got)
 	}
@@ -223,7 +223,7 @@
 			t.Errorf("after %v: %d tokens, want %d", c.after, got, c.want)
 		}
 	}
-	f.First(start.Add(time.Second))
+	f.AnswerStarted(start.Add(time.Second))
 	if got := table.Loads(start.Add(time.Second))[0]; got.PrefillTokens != 0 || got.MemoryTokens != 1200 {
 		t.Errorf("after the first event: %v", got)
 	}
@@ -234,7 +234,7 @@
 	table := newTestTable("a")
 	start := time.Now()
 	for range 10 {
-		table.Begin("a", Work{Expected: 200 * time.Millisecond}, start.Add(-2*time.Second)).First(start)
+		table.Begin("a", Work{Expected: 200 * time.Millisecond}, start.Add(-2*time.Second)).AnswerStarted(start)
 	}
 	slow := func(at time.Time) float64 { return table.Snapshot(testService, testModel, 0, at)[0].Slow }
 	if got := slow(start); got < 4 {
@@ -250,7 +250,7 @@
 func TestShortWaitsDoNotLookSlow(t *testing.T) {
 	table := newTestTable("a")
 	now := time.Now()
-	table.Begin("a", Work{Expected: 10 * time.Millisecond}, now.Add(-140*time.Millisecond)).First(now)
+	table.Begin("a", Work{Expected: 10 * time.Millisecond}, now.Add(-140*time.Millisecond)).AnswerStarted(now)
 	if got := table.Snapshot(testService, testModel, 0, now)[0].Slow; got != 1 {
 		t.Errorf("slowness %.1f, want 1", got)
 	}
