--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -92,7 +92,7 @@
 	case result == replica.Answered || result == replica.Failed:
 		x.d.crashes.Answered(x.report.Digest, now)
 	case result == replica.Lost && upstream.Broken(err):
-		x.choice.Flight.Broke(now)
+		x.choice.Flight.ConnectionBroken(now)
 	case (result == replica.Lost || result == replica.Cancelled) && mayHaveRun:
 		x.choice.Flight.Abandoned(now)
 	case result == replica.Unreachable && upstream.Refused(err):
--- a/internal/replica/crash.go
+++ b/internal/replica/crash.go
@@ -36,9 +36,9 @@
 	at       time.Time
 }
 
-// Broke records that the connection broke before the complete answer. A probe of the server
+// ConnectionBroken records that the connection broke before the complete answer. A probe of the server
 // then shows whether it crashed; servers close single connections too.
-func (f *Flight) Broke(now time.Time) {
+func (f *Flight) ConnectionBroken(now time.Time) {
 	t, e := f.table, f.entry
 	t.mu.Lock()
 	defer t.unlockAndNotify()
--- a/internal/replica/crash_test.go
+++ b/internal/replica/crash_test.go
@@ -28,7 +28,7 @@
 // breakRequest sends a request whose connection breaks at the given time.
 func (w *crashFixture) breakRequest(d quarantine.Digest, at time.Time) {
 	f := w.Begin("a", Work{Digest: d, Expected: time.Second}, at.Add(-50*time.Millisecond))
-	f.Broke(at)
+	f.ConnectionBroken(at)
 	f.End(Lost, at)
 }
 
@@ -45,7 +45,7 @@
 		t.Errorf("servers to probe: %v, and then %v", probes, w.Broken())
 	}
 	w.ConnectionRefused("a", crashAddress, now.Add(20*time.Millisecond))
-	late.Broke(now.Add(30 * time.Millisecond))
+	late.ConnectionBroken(now.Add(30 * time.Millisecond))
 	late.End(Lost, now.Add(30*time.Millisecond))
 	slices.Sort(w.requests)
 	if !slices.Equal(w.requests, []quarantine.Digest{1, 2, 3}) {
