--- a/internal/dispatch/silence.go
+++ b/internal/dispatch/silence.go
@@ -34,7 +34,7 @@
 	}
 	limit := max(minHangTimeout, time.Duration(hangTimeoutTargets*float64(route.LatencyTarget)))
 	check := func() {
-		if x.choice.Flight.UnresponsiveFor(clock.Now()) > limit || x.choice.Flight.Lost() {
+		if x.choice.Flight.UnresponsiveFor(clock.Now()) > limit || x.choice.Flight.PresumedLost() {
 			x.cancel(errUnresponsive)
 			return
 		}
--- a/internal/replica/failures.go
+++ b/internal/replica/failures.go
@@ -82,9 +82,9 @@
 	}
 }
 
-// Lost reports whether the answer is presumed lost although the server answers other
+// PresumedLost reports whether the answer is presumed lost although the server answers other
 // requests.
-func (f *Flight) Lost() bool {
+func (f *Flight) PresumedLost() bool {
 	f.table.mu.Lock()
 	defer f.table.mu.Unlock()
 	return f.presumedLost
--- a/internal/replica/failures_test.go
+++ b/internal/replica/failures_test.go
@@ -44,7 +44,7 @@
 		quick.AnswerStarted(now)
 		quick.End(Answered, now)
 	}
-	if slow.Lost() {
+	if slow.PresumedLost() {
 		t.Error("presumed lost half a second after it was due")
 	}
 }
