--- a/internal/node/crashes.go
+++ b/internal/node/crashes.go
@@ -20,7 +20,7 @@
 // probeBroken probes the servers whose connections broke, so that a crash is detected before the
 // request that caused it is sent again.
 func (n *Node) probeBroken(ctx context.Context) {
-	for id, address := range n.replicas.Broken() {
+	for id, address := range n.replicas.TakeProbeTargets() {
 		go func() {
 			if err := n.pool.Look(ctx, address); upstream.Refused(err) {
 				n.replicas.ConnectionRefused(id, address, clock.Now())
--- a/internal/replica/active_test.go
+++ b/internal/replica/active_test.go
@@ -27,7 +27,7 @@
 func (t *Table) tick(now time.Time) {
 	t.Loads(now)
 	t.Working()
-	t.Broken()
+	t.TakeProbeTargets()
 	t.Unverified(now)
 	t.Down(now)
 	t.MergeSlowdowns()
--- a/internal/replica/crash.go
+++ b/internal/replica/crash.go
@@ -114,9 +114,9 @@
 	}
 }
 
-// Broken returns the addresses of the servers to probe because a connection that carried a
+// TakeProbeTargets returns the addresses of the servers to probe because a connection that carried a
 // request broke. Each server is returned once for such a failure.
-func (t *Table) Broken() map[string]string {
+func (t *Table) TakeProbeTargets() map[string]string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	out := map[string]string{}
--- a/internal/replica/crash_test.go
+++ b/internal/replica/crash_test.go
@@ -41,8 +41,8 @@
 	late := w.Begin("a", Work{Digest: 3}, now)
 	w.breakRequest(1, now)
 	w.breakRequest(2, now)
-	if probes := w.Broken(); probes["a"] != crashAddress || len(w.Broken()) != 0 {
-		t.Errorf("servers to probe: %v, and then %v", probes, w.Broken())
+	if probes := w.TakeProbeTargets(); probes["a"] != crashAddress || len(w.TakeProbeTargets()) != 0 {
+		t.Errorf("servers to probe: %v, and then %v", probes, w.TakeProbeTargets())
 	}
 	w.ConnectionRefused("a", crashAddress, now.Add(20*time.Millisecond))
 	late.ConnectionBroken(now.Add(30 * time.Millisecond))
@@ -110,7 +110,7 @@
 		},
 		"ends later":    func(w *crashFixture) { w.ConnectionRefused("a", crashAddress, now.Add(crashWindow)) },
 		"has moved":     func(w *crashFixture) { w.ConnectionRefused("a", "10.0.0.9:1", now) },
-		"is not looked": func(w *crashFixture) { w.Broken() },
+		"is not looked": func(w *crashFixture) { w.TakeProbeTargets() },
 	} {
 		w := newCrashFixture()
 		w.breakRequest(1, now)
