--- a/internal/node/beliefs_test.go
+++ b/internal/node/beliefs_test.go
@@ -48,7 +48,7 @@
 	t.Cleanup(func() { _ = lines.Close() })
 	n := New(set, nil, log, lines)
 	// There is no configuration that names the service.
-	n.replicas.Known = func(string) bool { return true }
+	n.replicas.IsKnownService = func(string) bool { return true }
 	return n
 }
 
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -225,7 +225,7 @@
 	n.replicas.Crashed = n.replicaCrashed
 	n.engines.Answered = n.replicas.RecordNoticeAt
 	n.replicas.Off = off
-	n.replicas.Known = func(service string) bool {
+	n.replicas.IsKnownService = func(service string) bool {
 		c := n.config.Load()
 		return c != nil && c.Services[service] != nil
 	}
--- a/internal/replica/restart_test.go
+++ b/internal/replica/restart_test.go
@@ -67,7 +67,7 @@
 // operator has configured.
 func TestServersOfUnknownServicesGetNoOrders(t *testing.T) {
 	table := newTestTable("a")
-	table.Known = func(service string) bool { return service != testService }
+	table.IsKnownService = func(service string) bool { return service != testService }
 	if got := table.Servers(time.Now()); len(got) != 0 {
 		t.Errorf("servers %+v", got)
 	}
--- a/internal/replica/table.go
+++ b/internal/replica/table.go
@@ -61,10 +61,10 @@
 	onRemove func(id, address string)
 	// Off holds the disabled mechanisms; it is set before use.
 	Off mechanism.Off
-	// Known reports whether operators have configured a service; it is set before use and
+	// IsKnownService reports whether operators have configured a service; it is set before use and
 	// called under the lock. Servers of other services get no commands, since other writers
 	// may add entries to the store.
-	Known func(service string) bool
+	IsKnownService func(service string) bool
 	// Crashed is called, without the lock, for each server that crashed, with the requests
 	// that it was running; it is set before use.
 	Crashed func(server quarantine.Server, requests []quarantine.Digest, now time.Time)
@@ -141,7 +141,7 @@
 // restarted; the caller then drops its state of that server.
 func NewTable(log *logrus.Logger, onRemove func(id, address string)) *Table {
 	return &Table{
-		log: log, onRemove: onRemove, Known: func(string) bool { return true },
+		log: log, onRemove: onRemove, IsKnownService: func(string) bool { return true },
 		Crashed: func(quarantine.Server, []quarantine.Digest, time.Time) {},
 		machine: newMachine(), entries: map[string]*entry{}, active: map[string]*entry{}, lapsed: map[string]*entry{}, withSlowdown: map[string]*entry{}, services: services{}, wanted: map[string][]wantedVersion{}, newestHeld: map[serviceModel]int64{}, otherLoads: newLoads(), peerSlowdowns: slowdownReports{},
 	}
@@ -399,7 +399,7 @@
 
 // acceptsCommands reports whether a server may be commanded to load weights.
 func (t *Table) acceptsCommands(e *entry) bool {
-	return len(e.weights) > 0 && t.Known(e.reg.Service) && (e.is(StateServing) || e.is(StateLapsed))
+	return len(e.weights) > 0 && t.IsKnownService(e.reg.Service) && (e.is(StateServing) || e.is(StateLapsed))
 }
 
 // servers returns the matching entries that may be given commands now, ordered by ID.
--- a/internal/replica/weights_test.go
+++ b/internal/replica/weights_test.go
@@ -85,13 +85,13 @@
 	// Any writer may add an entry of another service. It must prove neither that a version
 	// was held nor that some replica has outdated weights.
 	alone := newTestTable("a")
-	alone.Known = func(service string) bool { return service == testService }
+	alone.IsKnownService = func(service string) bool { return service == testService }
 	alone.WantFound(testModel, 2, start)
 	alone.Register(platform.Registration{ID: "z", Service: "other", Weights: map[string]int64{testModel: 9}}, 9)
 	if got := alone.Snapshot(testService, testModel, 1000, now)[0].Behind; got != 8*time.Second {
 		t.Errorf("behind for %v beside another service's entry, want 8s", got)
 	}
-	observer.Known = alone.Known
+	observer.IsKnownService = alone.IsKnownService
 	observer.Register(platform.Registration{ID: "z", Service: "other", Weights: map[string]int64{testModel: 0}}, 9)
 	// A version that every replica has reached is no longer reported.
 	for _, id := range []string{"a", "b"} {
