--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -222,7 +222,7 @@
 		n.loader.Forget(id)
 	})
 	n.crashes = quarantine.NewTable(log)
-	n.replicas.Crashed = n.replicaCrashed
+	n.replicas.OnCrash = n.replicaCrashed
 	n.engines.Answered = n.replicas.RecordNoticeAt
 	n.replicas.Off = off
 	n.replicas.IsKnownService = func(service string) bool {
--- a/internal/replica/crash.go
+++ b/internal/replica/crash.go
@@ -110,7 +110,7 @@
 	t.pendingCrashes = nil
 	t.mu.Unlock()
 	for _, c := range pending {
-		t.Crashed(c.server, c.requests, c.at)
+		t.OnCrash(c.server, c.requests, c.at)
 	}
 }
 
--- a/internal/replica/crash_test.go
+++ b/internal/replica/crash_test.go
@@ -17,7 +17,7 @@
 
 func newCrashFixture() *crashFixture {
 	w := &crashFixture{Table: NewTable(quietLog(), func(string, string) {})}
-	w.Crashed = func(server quarantine.Server, requests []quarantine.Digest, _ time.Time) {
+	w.OnCrash = func(server quarantine.Server, requests []quarantine.Digest, _ time.Time) {
 		w.servers = append(w.servers, server)
 		w.requests = append(w.requests, requests...)
 	}
--- a/internal/replica/table.go
+++ b/internal/replica/table.go
@@ -65,9 +65,9 @@
 	// called under the lock. Servers of other services get no commands, since other writers
 	// may add entries to the store.
 	IsKnownService func(service string) bool
-	// Crashed is called, without the lock, for each server that crashed, with the requests
+	// OnCrash is called, without the lock, for each server that crashed, with the requests
 	// that it was running; it is set before use.
-	Crashed func(server quarantine.Server, requests []quarantine.Digest, now time.Time)
+	OnCrash func(server quarantine.Server, requests []quarantine.Digest, now time.Time)
 
 	mu      sync.Mutex
 	entries map[string]*entry
@@ -94,7 +94,7 @@
 	peerSlowdowns    slowdownReports
 	serviceSlowdowns map[string]slowdown
 	slowdownCursor   string
-	// pendingCrashes are passed to Crashed once the lock is released.
+	// pendingCrashes are passed to OnCrash once the lock is released.
 	pendingCrashes []crash
 	// generation counts the changes of the set of servers and of those that may be used.
 	generation uint64
@@ -142,7 +142,7 @@
 func NewTable(log *logrus.Logger, onRemove func(id, address string)) *Table {
 	return &Table{
 		log: log, onRemove: onRemove, IsKnownService: func(string) bool { return true },
-		Crashed: func(quarantine.Server, []quarantine.Digest, time.Time) {},
+		OnCrash: func(quarantine.Server, []quarantine.Digest, time.Time) {},
 		machine: newMachine(), entries: map[string]*entry{}, active: map[string]*entry{}, lapsed: map[string]*entry{}, withSlowdown: map[string]*entry{}, services: services{}, wanted: map[string][]wantedVersion{}, newestHeld: map[serviceModel]int64{}, otherLoads: newLoads(), peerSlowdowns: slowdownReports{},
 	}
 }
