--- a/internal/replica/active_test.go
+++ b/internal/replica/active_test.go
@@ -26,7 +26,7 @@
 // tick does what each host does ten times a second.
 func (t *Table) tick(now time.Time) {
 	t.Loads(now)
-	t.Working()
+	t.HasRequests()
 	t.TakeProbeTargets()
 	t.Unverified(now)
 	t.Down(now)
@@ -44,8 +44,8 @@
 		table.MarkUnverified("i-00003", "m", 1, now)
 		table.Reached("i-00004", false, now)
 		table.tick(now)
-		if len(table.active) != 4 || !table.Working() || len(table.Unverified(now)) != 1 {
-			t.Errorf("%d of %d servers are active, working %v, %d unverified", len(table.active), n, table.Working(), len(table.Unverified(now)))
+		if len(table.active) != 4 || !table.HasRequests() || len(table.Unverified(now)) != 1 {
+			t.Errorf("%d of %d servers are active, working %v, %d unverified", len(table.active), n, table.HasRequests(), len(table.Unverified(now)))
 		}
 		if down, _ := table.Down(now); len(down) != 1 {
 			t.Errorf("down servers: %v", down)
@@ -65,7 +65,7 @@
 		trial.End(Answered, later)
 		later = later.Add(time.Minute)
 		table.tick(later)
-		if len(table.active) != 0 || table.Working() {
+		if len(table.active) != 0 || table.HasRequests() {
 			t.Errorf("%d servers are still active after all requests ended", len(table.active))
 		}
 	}
--- a/internal/replica/loads.go
+++ b/internal/replica/loads.go
@@ -151,8 +151,8 @@
 	return out
 }
 
-// Working reports whether requests of this host are in flight at any server.
-func (t *Table) Working() bool {
+// HasRequests reports whether requests of this host are in flight at any server.
+func (t *Table) HasRequests() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, e := range t.active {
