--- a/internal/node/gossip.go
+++ b/internal/node/gossip.go
@@ -169,7 +169,7 @@
 		b.Paces = n.replicas.Slowdowns()
 	}
 	b.Loading = n.loader.Busy()
-	b.Down, _ = n.replicas.Down(now)
+	b.Down, _ = n.replicas.DownServers(now)
 	b.Named = n.replicas.NamedVersions(now)
 	if n.canaryLease.Valid() {
 		b.MovePermits = n.canaries.Permits(n.canaryLease.Fencing(), now)
--- a/internal/node/loops.go
+++ b/internal/node/loops.go
@@ -162,7 +162,7 @@
 func (n *Node) reconnect(ctx context.Context) {
 	clock.Every(ctx, reconnectInterval, func() {
 		n.probeBroken(ctx)
-		_, due := n.replicas.Down(clock.Now())
+		_, due := n.replicas.DownServers(clock.Now())
 		for id, address := range due {
 			n.pool.Forget(address)
 			go func() {
--- a/internal/replica/active_test.go
+++ b/internal/replica/active_test.go
@@ -29,7 +29,7 @@
 	t.HasRequests()
 	t.TakeProbeTargets()
 	t.Unverified(now)
-	t.Down(now)
+	t.DownServers(now)
 	t.MergeSlowdowns()
 	t.Settle()
 }
@@ -47,7 +47,7 @@
 		if len(table.active) != 4 || !table.HasRequests() || len(table.Unverified(now)) != 1 {
 			t.Errorf("%d of %d servers are active, working %v, %d unverified", len(table.active), n, table.HasRequests(), len(table.Unverified(now)))
 		}
-		if down, _ := table.Down(now); len(down) != 1 {
+		if down, _ := table.DownServers(now); len(down) != 1 {
 			t.Errorf("down servers: %v", down)
 		}
 		for _, f := range flights {
--- a/internal/replica/health.go
+++ b/internal/replica/health.go
@@ -189,9 +189,9 @@
 
 func weightsText(model string, version int64) string { return fmt.Sprintf("%s=%d", model, version) }
 
-// Down returns the servers to report as down to other hosts, by what this host itself has
+// DownServers returns the servers to report as down to other hosts, by what this host itself has
 // observed, and the addresses of those that are due for another connection attempt.
-func (t *Table) Down(now time.Time) (ids []string, due map[string]string) {
+func (t *Table) DownServers(now time.Time) (ids []string, due map[string]string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	due = map[string]string{}
--- a/internal/replica/restart_test.go
+++ b/internal/replica/restart_test.go
@@ -81,7 +81,7 @@
 	now := time.Now()
 	there.Begin("a", Work{}, now).End(Unreachable, now)
 	there.Reached("a", true, now)
-	down, _ := there.Down(now)
+	down, _ := there.DownServers(now)
 	if len(down) != 1 {
 		t.Fatalf("reported as down: %v", down)
 	}
@@ -95,7 +95,7 @@
 	}
 	// A host's report ends soon after it could connect again, even if no request has
 	// succeeded there: with a hundred other servers, none may be sent for a long time.
-	if down, _ := there.Down(now.Add(2 * reportAfterReached)); len(down) != 0 {
+	if down, _ := there.DownServers(now.Add(2 * reportAfterReached)); len(down) != 0 {
 		t.Errorf("still reported as down: %v", down)
 	}
 	// What this host has observed itself still counts.
--- a/internal/replica/table_test.go
+++ b/internal/replica/table_test.go
@@ -145,7 +145,7 @@
 	if got := usable(table, now); got != "" {
 		t.Fatalf("usable before it could be connected to: %q", got)
 	}
-	if _, due := table.Down(now); len(due) != 1 {
+	if _, due := table.DownServers(now); len(due) != 1 {
 		t.Fatalf("due for a connection: %v", due)
 	}
 	table.Reached("a", true, now)
@@ -292,7 +292,7 @@
 	out.Reset()
 	table.Begin("a", Work{}, now)
 	for range 3 {
-		table.Down(now.Add(2 * unresponsiveThreshold))
+		table.DownServers(now.Add(2 * unresponsiveThreshold))
 		table.Suspect("b", []string{"a"}, now.Add(2*unresponsiveThreshold))
 	}
 	for _, message := range []string{"replica gives no sign of life", "replica avoided: another host finds it down"} {
