--- a/internal/node/loops.go
+++ b/internal/node/loops.go
@@ -118,7 +118,7 @@
 		n.pool.Sweep(now)
 		n.expireHosts(now)
 		if n.access.Stable(now) {
-			n.replicas.Settle()
+			n.replicas.RemoveLapsed()
 		}
 		n.replicas.MergeSlowdowns()
 		n.updateRetryBudget(now)
--- a/internal/replica/active_test.go
+++ b/internal/replica/active_test.go
@@ -31,7 +31,7 @@
 	t.Unverified(now)
 	t.DownServers(now)
 	t.MergeSlowdowns()
-	t.Settle()
+	t.RemoveLapsed()
 }
 
 // TestIdleServersAreNotVisited checks that a host only looks at the servers in use, and at
@@ -79,11 +79,11 @@
 		table.Remove(fmt.Sprintf("i-%05d", i), false)
 	}
 	table.Register(platform.Registration{ID: "i-00002", Service: "writer", Address: "i-00002:1", Slots: 8}, 90)
-	table.Settle()
+	table.RemoveLapsed()
 	if got := table.Count(); got != 7 {
 		t.Errorf("%d servers are left, want 7", got)
 	}
-	table.Settle()
+	table.RemoveLapsed()
 	if got := table.Count(); got != 7 {
 		t.Errorf("%d servers are left the second time, want 7", got)
 	}
--- a/internal/replica/table.go
+++ b/internal/replica/table.go
@@ -195,7 +195,7 @@
 }
 
 // Remove applies the removal of a server's entry. An untrusted removal may be an effect of a
-// store outage: the server keeps serving until Settle.
+// store outage: the server keeps serving until RemoveLapsed.
 func (t *Table) Remove(id string, trusted bool) {
 	t.mu.Lock()
 	e := t.entries[id]
@@ -228,8 +228,8 @@
 	t.onRemove(id, address)
 }
 
-// Settle removes the servers whose entries are still missing after a store outage.
-func (t *Table) Settle() {
+// RemoveLapsed removes the servers whose entries are still missing after a store outage.
+func (t *Table) RemoveLapsed() {
 	t.mu.Lock()
 	removed := map[string]string{}
 	for id, e := range t.lapsed {
--- a/internal/replica/table_test.go
+++ b/internal/replica/table_test.go
@@ -100,7 +100,7 @@
 		t.Errorf("usable: %q, want a and c", got)
 	}
 	table.Register(platform.Registration{ID: "c", Service: testService}, 9)
-	table.Settle()
+	table.RemoveLapsed()
 	if got := usable(table, now); got != "c" {
 		t.Errorf("usable after the outage: %q, want c", got)
 	}
