--- a/internal/oai/oai.go
+++ b/internal/oai/oai.go
@@ -73,15 +73,15 @@
 
 // splitBlocks splits a prompt into prefix blocks. The ID of a block is a hash of all text up to
 // its end, so that equal IDs mean equal prefixes.
-func splitBlocks(prompt string) []platform.Part {
-	var blocks []platform.Part
+func splitBlocks(prompt string) []platform.Block {
+	var blocks []platform.Block
 	hash := xxh3.New()
 	for len(prompt) > 0 {
 		n := min(blockBytes, len(prompt))
 		// Writing to a hash never fails.
 		_, _ = hash.WriteString(prompt[:n])
 		sum := hash.Sum128().Bytes()
-		blocks = append(blocks, platform.Part{ID: hex.EncodeToString(sum[:8]), Tokens: (n + bytesPerToken - 1) / bytesPerToken})
+		blocks = append(blocks, platform.Block{ID: hex.EncodeToString(sum[:8]), Tokens: (n + bytesPerToken - 1) / bytesPerToken})
 		prompt = prompt[n:]
 	}
 	return blocks
--- a/internal/prefix/index.go
+++ b/internal/prefix/index.go
@@ -29,7 +29,7 @@
 
 // NewPrompt returns the shareable blocks of a prompt under a salt: all but the last one, which
 // belongs to the request alone.
-func NewPrompt(salt string, blocks []platform.Part) Prompt {
+func NewPrompt(salt string, blocks []platform.Block) Prompt {
 	var p Prompt
 	for _, block := range blocks[:max(0, len(blocks)-1)] {
 		p.Parts = append(p.Parts, HashOf(salt, block.ID))
--- a/internal/prefix/index_test.go
+++ b/internal/prefix/index_test.go
@@ -12,11 +12,11 @@
 )
 
 func testPrompt(salt string, ids ...string) Prompt {
-	var blocks []platform.Part
+	var blocks []platform.Block
 	for _, id := range ids {
-		blocks = append(blocks, platform.Part{ID: id, Tokens: 100})
+		blocks = append(blocks, platform.Block{ID: id, Tokens: 100})
 	}
-	return NewPrompt(salt, append(blocks, platform.Part{ID: "own", Tokens: 50}))
+	return NewPrompt(salt, append(blocks, platform.Block{ID: "own", Tokens: 50}))
 }
 
 // TestSaltsShareNothing: a different weights version, or an isolated organisation, has a different
--- a/internal/schedule/schedule.go
+++ b/internal/schedule/schedule.go
@@ -29,7 +29,7 @@
 	Store        *config.CacheStore
 	Organisation *config.Organisation
 	Model        string
-	Parts        []platform.Part
+	Parts        []platform.Block
 	PromptTokens int
 	OutputTokens int
 	Target       time.Duration
@@ -234,7 +234,7 @@
 }
 
 // LeadingBlockKey returns a key that is equal for requests with the same first prefix block.
-func LeadingBlockKey(blocks []platform.Part) uint64 {
+func LeadingBlockKey(blocks []platform.Block) uint64 {
 	if len(blocks) == 0 {
 		return 0
 	}
@@ -247,7 +247,7 @@
 // a fleet of 60 replicas, one received 73 % of the requested shared tokens and another 3 %.
 // The second shared block identifies the document or the conversation. Whatever follows it
 // stays in the same store, and each store keeps the leading blocks that its prompts need.
-func StorePart(blocks []platform.Part) uint64 {
+func StorePart(blocks []platform.Block) uint64 {
 	const document = 1
 	if len(blocks) <= document+1 {
 		return LeadingBlockKey(blocks)
--- a/internal/schedule/store_test.go
+++ b/internal/schedule/store_test.go
@@ -21,12 +21,12 @@
 
 // prompts returns prompts with many different documents after one of three instructions, of
 // which one is used in eight of ten prompts.
-func prompts(n int) [][]platform.Part {
+func prompts(n int) [][]platform.Block {
 	random := rand.New(rand.NewPCG(1, 2))
-	out := make([][]platform.Part, 0, n)
+	out := make([][]platform.Block, 0, n)
 	for range n {
 		instruction := max(0, random.IntN(10)-7)
-		out = append(out, []platform.Part{
+		out = append(out, []platform.Block{
 			{ID: fmt.Sprintf("instruction-%d", instruction), Tokens: 500},
 			{ID: fmt.Sprintf("document-%d-%d", instruction, random.IntN(300)), Tokens: 5_000},
 			{ID: "own", Tokens: 6_000},
@@ -58,10 +58,10 @@
 // that holds its earlier turns. With a store chosen by the last shared block it would change
 // with each turn.
 func TestConversationStaysInItsStore(t *testing.T) {
-	parts := []platform.Part{{ID: "instruction", Tokens: 500}, {ID: "first turn", Tokens: 300}, {ID: "own", Tokens: 100}}
+	parts := []platform.Block{{ID: "instruction", Tokens: 500}, {ID: "first turn", Tokens: 300}, {ID: "own", Tokens: 100}}
 	first := StorePart(parts)
 	for turn := range 5 {
-		parts = append(parts, platform.Part{ID: fmt.Sprintf("turn-%d", turn), Tokens: 300})
+		parts = append(parts, platform.Block{ID: fmt.Sprintf("turn-%d", turn), Tokens: 300})
 		if StorePart(parts) != first {
 			t.Fatalf("after turn %d the conversation is kept in another store", turn)
 		}
@@ -72,7 +72,7 @@
 // uses the store chosen by that block.
 func TestPrivateBlockChoosesNoStore(t *testing.T) {
 	for _, own := range []string{"p", "q"} {
-		parts := []platform.Part{{ID: "document", Tokens: 13_000}, {ID: own, Tokens: 4_000}}
+		parts := []platform.Block{{ID: "document", Tokens: 13_000}, {ID: own, Tokens: 4_000}}
 		if StorePart(parts) != LeadingBlockKey(parts) {
 			t.Errorf("the private block %q changes the choice of the store", own)
 		}
