--- a/internal/cachesync/follower_test.go
+++ b/internal/cachesync/follower_test.go
@@ -113,7 +113,7 @@
 		<-ctx.Done()
 		synctest.Wait()
 		for i := range h.events {
-			p := prefix.Prompt{Parts: []prefix.Hash{prefix.HashOf("s", blockName(i))}, Tokens: []int{100}}
+			p := prefix.Prompt{Blocks: []prefix.Hash{prefix.HashOf("s", blockName(i))}, Tokens: []int{100}}
 			if held, _ := index.Held("r", p, time.Now()); held == 100 {
 				found++
 			}
--- a/internal/cachesync/survey.go
+++ b/internal/cachesync/survey.go
@@ -86,7 +86,7 @@
 	}
 	var announced prefix.Prompt
 	for _, block := range slices.Sorted(maps.Keys(large)) {
-		announced.Parts = append(announced.Parts, block)
+		announced.Blocks = append(announced.Blocks, block)
 		announced.Tokens = append(announced.Tokens, large[block])
 	}
 	s.Found(h.Name, announced)
--- a/internal/cachesync/survey_test.go
+++ b/internal/cachesync/survey_test.go
@@ -92,7 +92,7 @@
 			if engines.calls[name] != 1 {
 				t.Errorf("%s was read %d times", name, engines.calls[name])
 			}
-			if blocks := announced[name]; (len(blocks.Parts) == 1 && blocks.Tokens[0] == 13000) != want {
+			if blocks := announced[name]; (len(blocks.Blocks) == 1 && blocks.Tokens[0] == 13000) != want {
 				t.Errorf("%s: announced %v", name, blocks)
 			}
 			if got := index.Tokens(name); (got == 13050) != want {
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -259,7 +259,7 @@
 		Store:        req.Store,
 		Organisation: req.Organisation,
 		Model:        req.Caller.Model,
-		Parts:        req.Caller.Parts,
+		Blocks:       req.Caller.Parts,
 		PromptTokens: req.Caller.PromptTokens,
 		OutputTokens: req.Caller.OutputTokens,
 		Target:       req.Route.LatencyTarget,
--- a/internal/prefix/index.go
+++ b/internal/prefix/index.go
@@ -18,7 +18,7 @@
 
 // Prompt holds the shareable prefix blocks of a prompt, in order, and their sizes in tokens.
 type Prompt struct {
-	Parts  []Hash
+	Blocks []Hash
 	Tokens []int
 }
 
@@ -32,7 +32,7 @@
 func NewPrompt(salt string, blocks []platform.Block) Prompt {
 	var p Prompt
 	for _, block := range blocks[:max(0, len(blocks)-1)] {
-		p.Parts = append(p.Parts, HashOf(salt, block.ID))
+		p.Blocks = append(p.Blocks, HashOf(salt, block.ID))
 		p.Tokens = append(p.Tokens, block.Tokens)
 	}
 	return p
@@ -90,7 +90,7 @@
 	defer x.mu.Unlock()
 	h := x.holder(id)
 	h.capacity = capacity
-	for i, block := range p.Parts {
+	for i, block := range p.Blocks {
 		h.add(block, p.Tokens[i], ready)
 	}
 }
@@ -182,7 +182,7 @@
 	if h == nil {
 		return
 	}
-	for _, block := range p.Parts {
+	for _, block := range p.Blocks {
 		if e := h.blocks[block]; e != nil && !e.Value.(*cachedBlock).confirmed {
 			h.remove(e)
 		}
@@ -217,7 +217,7 @@
 		return 0, 0
 	}
 	allPrefilled := true
-	for i, block := range p.Parts {
+	for i, block := range p.Blocks {
 		e := h.blocks[block]
 		if e == nil {
 			break
@@ -246,7 +246,7 @@
 	if h == nil {
 		return latest
 	}
-	for _, block := range p.Parts {
+	for _, block := range p.Blocks {
 		e := h.blocks[block]
 		if e == nil {
 			break
--- a/internal/prefix/index_test.go
+++ b/internal/prefix/index_test.go
@@ -57,7 +57,7 @@
 	now := time.Now()
 	p := testPrompt("s", "a", "b")
 	x.Add("r", p, 10000, now)
-	x.Stored("r", p.Parts[0], 100, 10000, now)
+	x.Stored("r", p.Blocks[0], 100, 10000, now)
 	x.Unlearn("r", p)
 	if held, _ := x.Held("r", p, now); held != 100 {
 		t.Errorf("held %d, want the confirmed block", held)
--- a/internal/schedule/many_test.go
+++ b/internal/schedule/many_test.go
@@ -51,7 +51,7 @@
 	used := map[string]bool{}
 	for i := range 600 {
 		req := request(open, "p")
-		req.Parts = []platform.Block{{ID: "p", Tokens: 40}, {ID: fmt.Sprint("own", i), Tokens: 16_960}}
+		req.Blocks = []platform.Block{{ID: "p", Tokens: 40}, {ID: fmt.Sprint("own", i), Tokens: 16_960}}
 		c := pick(t, s, req, now)
 		used[c.ID] = true
 	}
--- a/internal/schedule/saving.go
+++ b/internal/schedule/saving.go
@@ -21,7 +21,7 @@
 // shared prefix blocks, and its backlog is within the limit for how likely they are to be
 // requested again.
 func (s *Scheduler) worthSaving(req *Request, c *Choice, now time.Time) bool {
-	if req.Store == nil || !s.StoreUp(req.Store.Address) || len(c.prompt.Parts) == 0 {
+	if req.Store == nil || !s.StoreUp(req.Store.Address) || len(c.prompt.Blocks) == 0 {
 		return false
 	}
 	held, _ := s.index.Held(req.Store.Address, c.prompt, now)
--- a/internal/schedule/schedule.go
+++ b/internal/schedule/schedule.go
@@ -29,7 +29,7 @@
 	Store        *config.CacheStore
 	Organisation *config.Organisation
 	Model        string
-	Parts        []platform.Block
+	Blocks       []platform.Block
 	PromptTokens int
 	OutputTokens int
 	Target       time.Duration
@@ -180,8 +180,8 @@
 // blocks are sent. With many replicas these are only some of them: if they are busy, others
 // are considered too, and if none is usable, all are.
 func (s *Scheduler) decideFromCandidates(req *Request, side *canary.Side, capacity int, prompts map[int64]prefix.Prompt, now time.Time) (route.Decision, error) {
-	key := StorePart(req.Parts)
-	if len(req.Parts) == 0 {
+	key := StorePart(req.Blocks)
+	if len(req.Blocks) == 0 {
 		key = rand.Uint64()
 	}
 	some, all := s.replicas.Candidates(req.Service.Name, req.Model, key, capacity, now)
@@ -219,7 +219,7 @@
 		LatencyTarget:    req.Target,
 		Repeatable:       req.Repeatable,
 		Exclude:          req.Exclude,
-		Affinity:         LeadingBlockKey(req.Parts),
+		Affinity:         LeadingBlockKey(req.Blocks),
 	}, candidates)
 }
 
@@ -227,7 +227,7 @@
 func (s *Scheduler) prompt(prompts map[int64]prefix.Prompt, req *Request, version int64) prefix.Prompt {
 	p, ok := prompts[version]
 	if !ok {
-		p = prefix.NewPrompt(s.Salt(req.Model, version, req.Organisation), req.Parts)
+		p = prefix.NewPrompt(s.Salt(req.Model, version, req.Organisation), req.Blocks)
 		prompts[version] = p
 	}
 	return p
@@ -267,7 +267,7 @@
 	prefill := 0
 	if capacity > 0 {
 		prefill = max(0, req.PromptTokens-d.Cached-d.Fetched)
-		s.instruct(req, c, s.prompt(prompts, req, anyWeights).Parts, prefill, now)
+		s.instruct(req, c, s.prompt(prompts, req, anyWeights).Blocks, prefill, now)
 	}
 	work := replica.Work{
 		Prefill: prefill, Memory: req.PromptTokens + req.OutputTokens,
--- a/internal/schedule/schedule_test.go
+++ b/internal/schedule/schedule_test.go
@@ -42,7 +42,7 @@
 func request(org *config.Organisation, block string) *Request {
 	return &Request{
 		Service: service, Store: cacheStore, Organisation: org, Model: testModel,
-		Parts:        []platform.Block{{ID: block, Tokens: 13_000}, {ID: "own", Tokens: 4_000}},
+		Blocks:       []platform.Block{{ID: block, Tokens: 13_000}, {ID: "own", Tokens: 4_000}},
 		PromptTokens: 17_000, OutputTokens: 100, Target: 800 * time.Millisecond,
 		Exclude: map[string]bool{},
 	}
--- a/internal/schedule/sent.go
+++ b/internal/schedule/sent.go
@@ -17,7 +17,7 @@
 // next request with the same prefix blocks is sent to the same replica, and queues this for
 // other hosts.
 func (s *Scheduler) recordSent(c *Choice, now time.Time) {
-	if len(c.prompt.Parts) == 0 || c.capacity == 0 {
+	if len(c.prompt.Blocks) == 0 || c.capacity == 0 {
 		return
 	}
 	s.index.Add(c.ID, c.prompt, c.capacity, now.Add(c.Expected))
@@ -26,7 +26,7 @@
 		Replica: c.ID, ReadyMs: int32(c.Expected.Milliseconds()), Sharers: c.sharingScope, Prefix: uint64(c.stablePrefix),
 		Source: c.Source, FetchMs: int32(c.TransferTime.Milliseconds()), Sink: c.Sink, SaveMs: int32(c.saveTime.Milliseconds()),
 	}
-	for i, block := range c.prompt.Parts {
+	for i, block := range c.prompt.Blocks {
 		sent.Parts = append(sent.Parts, uint64(block))
 		sent.Tokens = append(sent.Tokens, int32(c.prompt.Tokens[i]))
 	}
@@ -59,7 +59,7 @@
 // AnnounceHeld adds prefix blocks that a replica was found to hold to the next heartbeat.
 func (s *Scheduler) AnnounceHeld(id string, found prefix.Prompt) {
 	sent := &pb.PrefixSent{Replica: id}
-	for i, block := range found.Parts {
+	for i, block := range found.Blocks {
 		sent.Parts = append(sent.Parts, uint64(block))
 		sent.Tokens = append(sent.Tokens, int32(found.Tokens[i]))
 	}
@@ -86,7 +86,7 @@
 		var p prefix.Prompt
 		for i, block := range item.Parts {
 			if i < len(item.Tokens) {
-				p.Parts = append(p.Parts, prefix.Hash(block))
+				p.Blocks = append(p.Blocks, prefix.Hash(block))
 				p.Tokens = append(p.Tokens, int(item.Tokens[i]))
 			}
 		}
