--- a/internal/cachesync/follower.go
+++ b/internal/cachesync/follower.go
@@ -132,7 +132,7 @@
 		f.Index.Clear(f.Holder.Name)
 	}
 	for _, ev := range events.Events {
-		f.record(ev.HeldPart)
+		f.record(ev.HeldBlock)
 	}
 	f.next = events.Next
 	if f.hasMore {
@@ -192,7 +192,7 @@
 }
 
 // record records in the index what the holder holds of a prefix block.
-func (f *Follower) record(held platform.HeldPart) {
+func (f *Follower) record(held platform.HeldBlock) {
 	f.Index.Stored(f.Holder.Name, prefix.HashOf(held.Salt, held.Part), held.Tokens, f.Holder.Capacity, clock.Now())
 }
 
--- a/internal/cachesync/follower_test.go
+++ b/internal/cachesync/follower_test.go
@@ -42,7 +42,7 @@
 
 // storedEvent returns the event of a prefix block that is now held.
 func storedEvent(block string) platform.CacheEvent {
-	return platform.CacheEvent{HeldPart: platform.HeldPart{Salt: "s", Part: block, Tokens: 100}}
+	return platform.CacheEvent{HeldBlock: platform.HeldBlock{Salt: "s", Part: block, Tokens: 100}}
 }
 
 func blockName(i int) string { return fmt.Sprintf("p%d", i) }
@@ -83,7 +83,7 @@
 	}
 	out := platform.CacheList{Epoch: h.epoch, Next: int64(len(h.events))}
 	for _, ev := range h.events {
-		out.Held = append(out.Held, ev.HeldPart)
+		out.Held = append(out.Held, ev.HeldBlock)
 	}
 	return out, nil
 }
