--- a/internal/entry/request.go
+++ b/internal/entry/request.go
@@ -190,7 +190,7 @@
 		Body:         body,
 		Route:        ex.route,
 		Service:      service,
-		Store:        ex.view.Config.Store(schedule.StorePart(ex.caller.Parts)),
+		Store:        ex.view.Config.Store(schedule.StoreKey(ex.caller.Parts)),
 		Organisation: ex.org,
 		Caller:       ex.caller,
 		Deadline:     deadline,
--- a/internal/schedule/schedule.go
+++ b/internal/schedule/schedule.go
@@ -180,7 +180,7 @@
 // blocks are sent. With many replicas these are only some of them: if they are busy, others
 // are considered too, and if none is usable, all are.
 func (s *Scheduler) decideFromCandidates(req *Request, side *canary.Side, capacity int, prompts map[int64]prefix.Prompt, now time.Time) (route.Decision, error) {
-	key := StorePart(req.Blocks)
+	key := StoreKey(req.Blocks)
 	if len(req.Blocks) == 0 {
 		key = rand.Uint64()
 	}
@@ -241,13 +241,13 @@
 	return uint64(prefix.HashOf("", blocks[0].ID))
 }
 
-// StorePart returns the key by which the KV cache store for a prompt is chosen. Many prompts
+// StoreKey returns the key by which the KV cache store for a prompt is chosen. Many prompts
 // begin with one of a few texts, such as the instructions of a route. With the leading block
 // as key, the load of the stores was as uneven as the use of these texts: of three stores in
 // a fleet of 60 replicas, one received 73 % of the requested shared tokens and another 3 %.
 // The second shared block identifies the document or the conversation. Whatever follows it
 // stays in the same store, and each store keeps the leading blocks that its prompts need.
-func StorePart(blocks []platform.Block) uint64 {
+func StoreKey(blocks []platform.Block) uint64 {
 	const document = 1
 	if len(blocks) <= document+1 {
 		return LeadingBlockKey(blocks)
--- a/internal/schedule/store_test.go
+++ b/internal/schedule/store_test.go
@@ -45,7 +45,7 @@
 	c := withStores(stores)
 	counts := map[string]int{}
 	for _, parts := range prompts(n) {
-		counts[c.Store(StorePart(parts)).Address]++
+		counts[c.Store(StoreKey(parts)).Address]++
 	}
 	for _, s := range c.Stores() {
 		if got := counts[s.Address]; got < n/4 || got > n*5/12 {
@@ -59,10 +59,10 @@
 // with each turn.
 func TestConversationStaysInItsStore(t *testing.T) {
 	parts := []platform.Block{{ID: "instruction", Tokens: 500}, {ID: "first turn", Tokens: 300}, {ID: "own", Tokens: 100}}
-	first := StorePart(parts)
+	first := StoreKey(parts)
 	for turn := range 5 {
 		parts = append(parts, platform.Block{ID: fmt.Sprintf("turn-%d", turn), Tokens: 300})
-		if StorePart(parts) != first {
+		if StoreKey(parts) != first {
 			t.Fatalf("after turn %d the conversation is kept in another store", turn)
 		}
 	}
@@ -73,11 +73,11 @@
 func TestPrivateBlockChoosesNoStore(t *testing.T) {
 	for _, own := range []string{"p", "q"} {
 		parts := []platform.Block{{ID: "document", Tokens: 13_000}, {ID: own, Tokens: 4_000}}
-		if StorePart(parts) != LeadingBlockKey(parts) {
+		if StoreKey(parts) != LeadingBlockKey(parts) {
 			t.Errorf("the private block %q changes the choice of the store", own)
 		}
 	}
-	if StorePart(nil) != LeadingBlockKey(nil) {
+	if StoreKey(nil) != LeadingBlockKey(nil) {
 		t.Error("the keys of a request without prefix blocks differ")
 	}
 }
