--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -255,18 +255,18 @@
 	req := r.req
 	now := clock.Now()
 	choice, err := r.d.scheduler.Pick(&schedule.Request{
-		Service:      req.Service,
-		Store:        req.Store,
-		Organisation: req.Organisation,
-		Model:        req.Caller.Model,
-		Blocks:       req.Caller.Parts,
-		PromptTokens: req.Caller.PromptTokens,
-		OutputTokens: req.Caller.OutputTokens,
-		Target:       req.Route.LatencyTarget,
-		Repeatable:   req.Route.Repeatable(),
-		MaxHold:      r.maxHold(),
-		Exclude:      r.exclude,
-		Digest:       r.report.Digest,
+		Service:       req.Service,
+		Store:         req.Store,
+		Organisation:  req.Organisation,
+		Model:         req.Caller.Model,
+		Blocks:        req.Caller.Parts,
+		PromptTokens:  req.Caller.PromptTokens,
+		OutputTokens:  req.Caller.OutputTokens,
+		LatencyTarget: req.Route.LatencyTarget,
+		Repeatable:    req.Route.Repeatable(),
+		MaxHold:       r.maxHold(),
+		Exclude:       r.exclude,
+		Digest:        r.report.Digest,
 	}, now)
 	if err != nil {
 		return nil, err
--- a/internal/schedule/schedule.go
+++ b/internal/schedule/schedule.go
@@ -25,14 +25,14 @@
 
 // Request is a request to be scheduled.
 type Request struct {
-	Service      *config.Service
-	Store        *config.CacheStore
-	Organisation *config.Organisation
-	Model        string
-	Blocks       []platform.Block
-	PromptTokens int
-	OutputTokens int
-	Target       time.Duration
+	Service       *config.Service
+	Store         *config.CacheStore
+	Organisation  *config.Organisation
+	Model         string
+	Blocks        []platform.Block
+	PromptTokens  int
+	OutputTokens  int
+	LatencyTarget time.Duration
 	// Repeatable requests may be run again on another replica.
 	Repeatable bool
 	// MaxHold is the maximum time for which the request may be held.
@@ -191,7 +191,7 @@
 		return decision, err
 	case err != nil:
 		return s.decide(req, allowed(s.replicas.Snapshot(req.Service.Name, req.Model, capacity, now), side), prompts, now)
-	case float64(decision.QueueTime) <= busyTargets*float64(req.Target):
+	case float64(decision.QueueTime) <= busyTargets*float64(req.LatencyTarget):
 		return decision, nil
 	}
 	others, _ := s.replicas.Candidates(req.Service.Name, req.Model, rand.Uint64(), capacity, now)
@@ -216,7 +216,7 @@
 		PromptTokens:     req.PromptTokens,
 		OutputTokens:     req.OutputTokens,
 		SharedTokens:     s.prompt(prompts, req, anyWeights).Total(),
-		LatencyTarget:    req.Target,
+		LatencyTarget:    req.LatencyTarget,
 		Repeatable:       req.Repeatable,
 		Exclude:          req.Exclude,
 		Affinity:         LeadingBlockKey(req.Blocks),
--- a/internal/schedule/schedule_test.go
+++ b/internal/schedule/schedule_test.go
@@ -43,7 +43,7 @@
 	return &Request{
 		Service: service, Store: cacheStore, Organisation: org, Model: testModel,
 		Blocks:       []platform.Block{{ID: block, Tokens: 13_000}, {ID: "own", Tokens: 4_000}},
-		PromptTokens: 17_000, OutputTokens: 100, Target: 800 * time.Millisecond,
+		PromptTokens: 17_000, OutputTokens: 100, LatencyTarget: 800 * time.Millisecond,
 		Exclude: map[string]bool{},
 	}
 }
