--- a/internal/dispatch/answer.go
+++ b/internal/dispatch/answer.go
@@ -111,7 +111,7 @@
 		x.unwatchQuarantine()
 		x.report.First = now.Sub(x.run.began)
 		x.report.Status = resp.Status
-		x.d.scheduler.Read(x.choice, now)
+		x.d.scheduler.PrefillDone(x.choice, now)
 		if err := x.out.Start(resp.Status, platform.AnswerHeaders(resp.Header)); err != nil {
 			return err
 		}
--- a/internal/schedule/schedule_test.go
+++ b/internal/schedule/schedule_test.go
@@ -92,7 +92,7 @@
 	if second.ID != first.ID || second.Hold <= 0 || second.Flight != nil {
 		t.Errorf("the second request went to %s after %s, held for %v", second.ID, first.ID, second.Hold)
 	}
-	s.Read(first, now)
+	s.PrefillDone(first, now)
 	third := pick(t, s, held, now.Add(time.Second))
 	if third.ID != first.ID || third.Hold != 0 || third.Cached != 13_000 {
 		t.Errorf("the third request went to %s, held for %v, cached %d", third.ID, third.Hold, third.Cached)
@@ -104,7 +104,7 @@
 func TestIsolatedPromptsAreNotFoundByOthers(t *testing.T) {
 	s, _, _ := newScheduler("a")
 	now := time.Now()
-	s.Read(pick(t, s, request(isolated, "p"), now), now)
+	s.PrefillDone(pick(t, s, request(isolated, "p"), now), now)
 	if c := pick(t, s, request(open, "p"), now); c.Cached != 0 || c.Source != "" {
 		t.Errorf("cached %d, source %q", c.Cached, c.Source)
 	}
@@ -114,7 +114,7 @@
 func TestNewWeightsDoNotReuseCache(t *testing.T) {
 	s, _, table := newScheduler("a", "b")
 	now := time.Now()
-	s.Read(pick(t, s, request(open, "p"), now), now)
+	s.PrefillDone(pick(t, s, request(open, "p"), now), now)
 	table.Want(testModel, 2, now)
 	table.RecordWeights("a", testModel, 2)
 	table.RecordWeights("b", testModel, 2)
@@ -129,7 +129,7 @@
 	s, _, table := newScheduler("a", "b")
 	now := time.Now()
 	first := pick(t, s, request(open, "p"), now)
-	s.Read(first, now)
+	s.PrefillDone(first, now)
 	table.Begin(first.ID, replica.Work{Prefill: 90_000, Memory: 90_000, Expected: 2 * time.Second, PrefillTime: 2 * time.Second}, now)
 	if c := pick(t, s, request(open, "p"), now); c.ID == first.ID || c.Source != first.ID || c.Fetched != 13_000 {
 		t.Errorf("went to %s, %d tokens from %q", c.ID, c.Fetched, c.Source)
--- a/internal/schedule/sent.go
+++ b/internal/schedule/sent.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// Read records that the chosen replica has finished the prefill of the prompt.
-func (s *Scheduler) Read(c *Choice, now time.Time) {
+// PrefillDone records that the chosen replica has finished the prefill of the prompt.
+func (s *Scheduler) PrefillDone(c *Choice, now time.Time) {
 	if c.capacity > 0 {
 		s.index.Add(c.ID, c.prompt, c.capacity, now)
 	}
