--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -66,7 +66,7 @@
 		r.connectTimedOut = choice.ID
 	}
 	if err != nil && r.report.First == 0 {
-		r.d.scheduler.Failed(choice)
+		r.d.scheduler.PrefillFailed(choice)
 	}
 	r.recordAttempt(choice, x.began, result, err)
 	return err
--- a/internal/schedule/sent.go
+++ b/internal/schedule/sent.go
@@ -47,11 +47,11 @@
 // Withdraw undoes a choice whose request was not sent.
 func (s *Scheduler) Withdraw(c *Choice, now time.Time) {
 	c.Flight.End(replica.Cancelled, now)
-	s.Failed(c)
+	s.PrefillFailed(c)
 }
 
-// Failed removes what the chosen replica was expected to prefill from the index.
-func (s *Scheduler) Failed(c *Choice) { s.index.Unlearn(c.ID, c.prompt) }
+// PrefillFailed removes what the chosen replica was expected to prefill from the index.
+func (s *Scheduler) PrefillFailed(c *Choice) { s.index.Unlearn(c.ID, c.prompt) }
 
 // maxPendingSent limits the number of sent prompts reported in one heartbeat.
 const maxPendingSent = 40
