--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -275,7 +275,7 @@
 		return choice, nil
 	}
 	if err := r.admit(choice, now); err != nil {
-		r.d.scheduler.Withdraw(choice, now)
+		r.d.scheduler.Cancel(choice, now)
 		return nil, err
 	}
 	r.report.Replica = choice.ID
--- a/internal/schedule/sent.go
+++ b/internal/schedule/sent.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// Withdraw undoes a choice whose request was not sent.
-func (s *Scheduler) Withdraw(c *Choice, now time.Time) {
+// Cancel undoes a choice whose request was not sent.
+func (s *Scheduler) Cancel(c *Choice, now time.Time) {
 	c.Flight.End(replica.Cancelled, now)
 	s.PrefillFailed(c)
 }
