--- a/internal/prefix/index.go
+++ b/internal/prefix/index.go
@@ -173,9 +173,9 @@
 	}
 }
 
-// Unlearn removes the blocks of a prompt whose prefill failed, except those that a cache event
+// RemoveFailed removes the blocks of a prompt whose prefill failed, except those that a cache event
 // has reported.
-func (x *Index) Unlearn(id string, p Prompt) {
+func (x *Index) RemoveFailed(id string, p Prompt) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	h := x.holders[id]
--- a/internal/prefix/index_test.go
+++ b/internal/prefix/index_test.go
@@ -58,7 +58,7 @@
 	p := testPrompt("s", "a", "b")
 	x.Add("r", p, 10000, now)
 	x.Stored("r", p.Blocks[0], 100, 10000, now)
-	x.Unlearn("r", p)
+	x.RemoveFailed("r", p)
 	if held, _ := x.Held("r", p, now); held != 100 {
 		t.Errorf("held %d, want the confirmed block", held)
 	}
--- a/internal/schedule/sent.go
+++ b/internal/schedule/sent.go
@@ -51,7 +51,7 @@
 }
 
 // PrefillFailed removes what the chosen replica was expected to prefill from the index.
-func (s *Scheduler) PrefillFailed(c *Choice) { s.index.Unlearn(c.ID, c.prompt) }
+func (s *Scheduler) PrefillFailed(c *Choice) { s.index.RemoveFailed(c.ID, c.prompt) }
 
 // maxPendingSent limits the number of sent prompts reported in one heartbeat.
 const maxPendingSent = 40
