--- a/internal/cachesync/follower.go
+++ b/internal/cachesync/follower.go
@@ -139,7 +139,7 @@
 		return 0
 	}
 	if !f.Holder.Store {
-		f.Index.Unconfirmed(f.Holder.Name, clock.Now().Add(-confirmTimeout))
+		f.Index.RemoveUnconfirmed(f.Holder.Name, clock.Now().Add(-confirmTimeout))
 	}
 	return f.Gap()
 }
--- a/internal/prefix/index.go
+++ b/internal/prefix/index.go
@@ -156,9 +156,9 @@
 	v.ready = now
 }
 
-// Unconfirmed removes the blocks whose prefill was expected to be complete by before, but which
+// RemoveUnconfirmed removes the blocks whose prefill was expected to be complete by before, but which
 // no cache event has reported: the prefill failed, or they were evicted immediately.
-func (x *Index) Unconfirmed(id string, before time.Time) {
+func (x *Index) RemoveUnconfirmed(id string, before time.Time) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	h := x.holders[id]
