--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -234,7 +234,7 @@
 	n.scheduler = schedule.New(n.replicas, n.index, policy, s.Host.AvailabilityZone, s.Request.ShareCache)
 	n.scheduler.NotifyPeers = n.requestHeartbeat
 	n.scheduler.Off = off
-	n.scheduler.Moves = n.canaries
+	n.scheduler.Canaries = n.canaries
 	n.budget = retry.NewBudget(s.Retry.Ratio, s.Retry.Window.AsDuration(), 0, 1, n.started)
 	n.limiter = quota.NewLimiter(quota.Terms{
 		Window: s.Quota.Window.AsDuration(), Over: s.Quota.Over, Slack: s.Quota.Slack,
--- a/internal/schedule/schedule.go
+++ b/internal/schedule/schedule.go
@@ -92,9 +92,9 @@
 	reuse      *reuseTracker
 	// NotifyPeers requests that other hosts be notified at once.
 	NotifyPeers func()
-	// Moves decides which software versions of a service a request may be sent to. It is set
+	// Canaries decides which software versions of a service a request may be sent to. It is set
 	// before use.
-	Moves *canary.Table
+	Canaries *canary.Table
 	// Off holds the mechanisms that are disabled. It is set before use.
 	Off mechanism.Off
 
@@ -110,7 +110,7 @@
 	return &Scheduler{
 		replicas: replicas, index: index, policy: policy, zone: zone, shareCache: shareCache,
 		links: links{busyUntil: map[string]time.Time{}}, reuse: newReuseTracker(), NotifyPeers: func() {},
-		reachableStores: map[string]bool{}, Moves: canary.NewTable(canary.Terms{}, logrus.StandardLogger()),
+		reachableStores: map[string]bool{}, Canaries: canary.NewTable(canary.Terms{}, logrus.StandardLogger()),
 	}
 }
 
@@ -131,7 +131,7 @@
 		capacity = req.Service.Engine.CacheTokens
 	}
 	for {
-		side := s.Moves.Choose(req.Service.Name, now)
+		side := s.Canaries.Choose(req.Service.Name, now)
 		prompts := map[int64]prefix.Prompt{}
 		decision, err := s.decideByVersion(req, &side, capacity, prompts, now)
 		if err != nil {
@@ -139,14 +139,14 @@
 		}
 		c := s.commit(req, decision, prompts, capacity, now)
 		if side.Target && (c == nil || c.Hold > 0) {
-			s.Moves.Withdraw(req.Service.Name)
+			s.Canaries.Withdraw(req.Service.Name)
 		}
 		if c == nil {
 			req.Exclude[decision.ID] = true
 			continue
 		}
 		if c.Hold == 0 {
-			s.Moves.Sent(req.Service.Name)
+			s.Canaries.Sent(req.Service.Name)
 		}
 		return c, nil
 	}
@@ -162,7 +162,7 @@
 	all := s.replicas.Snapshot(req.Service.Name, req.Model, capacity, now)
 	decision, err := s.decide(req, allowed(all, side), prompts, now)
 	if err != nil {
-		*side = s.Moves.Withdraw(req.Service.Name)
+		*side = s.Canaries.Withdraw(req.Service.Name)
 		return s.decideFromCandidates(req, side, capacity, prompts, now)
 	}
 	return decision, nil
