--- a/internal/node/moves.go
+++ b/internal/node/moves.go
@@ -28,7 +28,7 @@
 
 // applyReleaseOrder applies an operators' order to move a service to another version.
 func (n *Node) applyReleaseOrder(rec platform.Record) {
-	o, ok, err := platform.DecodeMove(rec)
+	o, ok, err := platform.DecodeCanaryOrder(rec)
 	if !ok {
 		return
 	}
