--- a/internal/node/moves.go
+++ b/internal/node/moves.go
@@ -42,7 +42,7 @@
 
 // applyStatusRecord applies the stored status of a service's last order.
 func (n *Node) applyStatusRecord(rec platform.Record, _ topic.Origin) {
-	st, ok, err := platform.DecodeMoveStatus(rec)
+	st, ok, err := platform.DecodeCanaryStatus(rec)
 	if err != nil {
 		n.log.WithError(err).WithField("offset", rec.Offset).Error("status of an order not taken")
 		return
@@ -165,7 +165,7 @@
 		"service": st.Service, "target": st.Target, "state": st.State, "fencing": st.Generation, "reason": d.Reason,
 	})
 	end := n.releaseStatuses.End()
-	rec := platform.EncodeMoveStatus(st)
+	rec := platform.EncodeCanaryStatus(st)
 	offset, err := n.store.Append(ctx, platform.StatusTopic, rec, end)
 	if err != nil {
 		logEntry.WithError(err).Warn("status of a move not written; trying again")
