--- a/internal/canary/rollout.go
+++ b/internal/canary/rollout.go
@@ -46,8 +46,8 @@
 // Diagram returns the state machine of a canary release as a Mermaid diagram.
 func Diagram() string { return statemachine.Diagram(newMachine()) }
 
-// Order is an operators' order to release a version of a service.
-type Order struct {
+// ReleaseOrder is an operators' order to release a version of a service.
+type ReleaseOrder struct {
 	Service string
 	Target  string
 	// Duration is the time within which the release is to be done.
@@ -96,7 +96,7 @@
 
 // release is one ordered canary release as a host sees it.
 type release struct {
-	order   Order
+	order   ReleaseOrder
 	machine *fsm.FSM
 	// startedAt is when the order was received, by this host or by the lease holder if that
 	// was earlier.
@@ -141,7 +141,7 @@
 	Elapsed time.Duration
 }
 
-func newRelease(o Order, now time.Time) *release {
+func newRelease(o ReleaseOrder, now time.Time) *release {
 	return &release{order: o, machine: newMachine(), startedAt: now, ownCounts: routeCounts{}, peerCounts: map[peer]routeCounts{}}
 }
 
--- a/internal/canary/table.go
+++ b/internal/canary/table.go
@@ -65,7 +65,7 @@
 
 // Ordered applies an operators' order. An older one than the current is ignored; a newer one
 // supersedes it.
-func (t *Table) Ordered(o Order, now time.Time) {
+func (t *Table) Ordered(o ReleaseOrder, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := t.getOrCreate(o.Service)
