--- a/internal/canary/simulate_test.go
+++ b/internal/canary/simulate_test.go
@@ -53,7 +53,7 @@
 	s := &simRelease{rng: rand.New(rand.NewPCG(seed, 7)), now: time.Unix(1_000_000, 0), perSecond: perSecond, servers: 60, old: old, next: next}
 	for range hosts {
 		t := NewTable(Terms{Share: 0.1, Slack: 50, RollBack: 5 * time.Second}, log)
-		t.Ordered(ReleaseOrder{Service: simService, Target: "v2", Duration: simDuration, Offset: 7}, s.now)
+		t.ApplyOrder(ReleaseOrder{Service: simService, Target: "v2", Duration: simDuration, Offset: 7}, s.now)
 		s.hosts = append(s.hosts, t)
 	}
 	return s
--- a/internal/canary/table.go
+++ b/internal/canary/table.go
@@ -63,9 +63,9 @@
 	return s
 }
 
-// Ordered applies an operators' order. An older one than the current is ignored; a newer one
+// ApplyOrder applies an operators' order. An older one than the current is ignored; a newer one
 // supersedes it.
-func (t *Table) Ordered(o ReleaseOrder, now time.Time) {
+func (t *Table) ApplyOrder(o ReleaseOrder, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := t.getOrCreate(o.Service)
--- a/internal/node/moves.go
+++ b/internal/node/moves.go
@@ -36,7 +36,7 @@
 		n.log.WithError(err).WithField("offset", rec.Offset).Error("order to move a service not taken")
 		return
 	}
-	n.canaries.Ordered(o, clock.Now())
+	n.canaries.ApplyOrder(o, clock.Now())
 	n.firstRelease.Do(func() { close(n.releaseOrdered) })
 }
 
