--- a/internal/canary/simulate_test.go
+++ b/internal/canary/simulate_test.go
@@ -81,7 +81,7 @@
 			d, st := t.Decide(simService, 3, situation, []string{"v1", "v2"}, s.now)
 			if st != nil {
 				for _, other := range s.hosts {
-					other.Stored(*st, s.now)
+					other.ApplyStatus(*st, s.now)
 				}
 			}
 			s.state, s.took = d.State, s.now.Sub(began)
@@ -238,7 +238,7 @@
 			if i == 0 {
 				_, st := host.Decide(simService, 3, Situation{Targets: 9, Olds: 9, TargetSlots: 99, OldRunning: 1}, nil, s.now)
 				if st != nil {
-					host.Stored(*st, s.now)
+					host.ApplyStatus(*st, s.now)
 				}
 			}
 		}
--- a/internal/canary/table.go
+++ b/internal/canary/table.go
@@ -80,11 +80,11 @@
 	s.release = newRelease(o, now)
 	s.status.Excluded = excluded(s.status.Excluded).without(o.Target)
 	entry.Info("move to another version ordered")
-	t.applyStatus(s, now)
+	t.applyToRelease(s, now)
 }
 
-// Stored applies the status of a service in the store, unless it is out of date.
-func (t *Table) Stored(st Status, now time.Time) {
+// ApplyStatus applies the status of a service in the store, unless it is out of date.
+func (t *Table) ApplyStatus(st Status, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := t.getOrCreate(st.Service)
@@ -93,13 +93,13 @@
 		return
 	}
 	s.status = st
-	t.applyStatus(s, now)
+	t.applyToRelease(s, now)
 }
 
 func isFinal(state string) bool { return state == StateDone || state == StateRolledBack }
 
-// applyStatus applies the stored status of the last order to its release.
-func (t *Table) applyStatus(s *serviceState, now time.Time) {
+// applyToRelease applies the stored status of the last order to its release.
+func (t *Table) applyToRelease(s *serviceState, now time.Time) {
 	r := s.release
 	if r == nil || s.status.Offset != r.order.Offset || r.finished() {
 		return
--- a/internal/node/moves.go
+++ b/internal/node/moves.go
@@ -48,7 +48,7 @@
 		return
 	}
 	if ok {
-		n.canaries.Stored(st, clock.Now())
+		n.canaries.ApplyStatus(st, clock.Now())
 	}
 }
 
