--- a/internal/canary/simulate_test.go
+++ b/internal/canary/simulate_test.go
@@ -149,7 +149,7 @@
 		s.bad++
 		s.badTimes = append(s.badTimes, s.now)
 	}
-	t.Ended(simService, name, a)
+	t.RecordAnswer(simService, name, a)
 }
 
 // checkExposure checks, unless the new version is released, that the requests to the new version stay
--- a/internal/canary/table.go
+++ b/internal/canary/table.go
@@ -208,8 +208,8 @@
 	return Side{Allows: func(version string) bool { return version != target && !slices.Contains(excludedVersions, version) }}
 }
 
-// Ended records an answer of a server with a version.
-func (t *Table) Ended(name, version string, a Answer) {
+// RecordAnswer records an answer of a server with a version.
+func (t *Table) RecordAnswer(name, version string, a Answer) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := t.services[name]
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -79,7 +79,7 @@
 	if result != replica.Answered && result != replica.Failed {
 		return
 	}
-	x.d.scheduler.Canaries.Ended(x.req.Service.Name, x.choice.Software, canary.Answer{
+	x.d.scheduler.Canaries.RecordAnswer(x.req.Service.Name, x.choice.Software, canary.Answer{
 		Route: x.req.Route.Name, Server: x.choice.ID, Failed: result == replica.Failed, Ratio: x.choice.Flight.Ratio(),
 	})
 }
