--- a/internal/canary/simulate_test.go
+++ b/internal/canary/simulate_test.go
@@ -69,7 +69,7 @@
 			for range int(n) + s.chance(n-math.Floor(n)) {
 				s.request(t, s.now.Sub(began))
 			}
-			t.Judge(simService, s.servers, s.now)
+			t.Evaluate(simService, s.servers, s.now)
 			if i != 0 {
 				continue
 			}
--- a/internal/canary/table.go
+++ b/internal/canary/table.go
@@ -256,10 +256,10 @@
 	return ""
 }
 
-// Judge evaluates the answers of a service so far. targets is the number of servers with the
+// Evaluate evaluates the answers of a service so far. targets is the number of servers with the
 // new version. Every host does this, and stops using a version that it finds bad without
 // waiting for the lease holder.
-func (t *Table) Judge(name string, targets int, now time.Time) {
+func (t *Table) Evaluate(name string, targets int, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := t.services[name]
--- a/internal/node/moves.go
+++ b/internal/node/moves.go
@@ -112,7 +112,7 @@
 	load := serviceLoad(versions, target)
 	v := n.members.View(now)
 	load.Hosts = addUnseenHosts(n.canaryHosts.observe(len(v.Routing), now), v.Live, n.unseenAddresses(v, now))
-	n.canaries.Judge(service, load.Targets, now)
+	n.canaries.Evaluate(service, load.Targets, now)
 	if !n.releaseStatuses.Synced() || !n.acquireCanaryLease(ctx, now) {
 		return
 	}
