--- a/internal/canary/simulate_test.go
+++ b/internal/canary/simulate_test.go
@@ -128,7 +128,7 @@
 
 func (s *simRelease) request(t *Table, at time.Duration) {
 	side := t.Choose(simService, s.now)
-	t.Sent(simService)
+	t.CountRequest(simService)
 	s.total++
 	name, v := "v1", s.old
 	if side.Target {
@@ -251,7 +251,7 @@
 			if isolated.Choose(simService, s.now).Target {
 				n++
 			}
-			isolated.Sent(simService)
+			isolated.CountRequest(simService)
 		}
 		return n
 	}
--- a/internal/canary/table.go
+++ b/internal/canary/table.go
@@ -156,7 +156,7 @@
 const serverShareFactor = 2
 
 // Choose returns which servers the next request of a service may go to, and counts the request
-// if that is the new version. Withdraw undoes the count; Sent follows once the request is sent.
+// if that is the new version. Withdraw undoes the count; CountRequest follows once the request is sent.
 func (t *Table) Choose(name string, now time.Time) Side {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -185,8 +185,8 @@
 	}
 }
 
-// Sent counts a request of a service that was sent to any version.
-func (t *Table) Sent(name string) {
+// CountRequest counts a request of a service that was sent to any version.
+func (t *Table) CountRequest(name string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if s := t.services[name]; s != nil && s.release != nil {
--- a/internal/schedule/schedule.go
+++ b/internal/schedule/schedule.go
@@ -146,7 +146,7 @@
 			continue
 		}
 		if c.Hold == 0 {
-			s.Canaries.Sent(req.Service.Name)
+			s.Canaries.CountRequest(req.Service.Name)
 		}
 		return c, nil
 	}
