--- a/internal/canary/simulate_test.go
+++ b/internal/canary/simulate_test.go
@@ -127,11 +127,11 @@
 }
 
 func (s *simRelease) request(t *Table, at time.Duration) {
-	side := t.Choose(simService, s.now)
+	filter := t.Choose(simService, s.now)
 	t.CountRequest(simService)
 	s.total++
 	name, v := "v1", s.old
-	if side.Target {
+	if filter.Target {
 		name, v = "v2", s.next
 		s.exposed++
 		s.lastSent = s.now
@@ -145,7 +145,7 @@
 	if slow {
 		a.Ratio *= 5
 	}
-	if side.Target && (a.Failed || slow) {
+	if filter.Target && (a.Failed || slow) {
 		s.bad++
 		s.badTimes = append(s.badTimes, s.now)
 	}
--- a/internal/canary/table.go
+++ b/internal/canary/table.go
@@ -117,8 +117,8 @@
 	}
 }
 
-// Side describes the servers that a request may go to.
-type Side struct {
+// ServerFilter describes the servers that a request may go to.
+type ServerFilter struct {
 	// Allows reports whether servers with a version may get the request; nil allows all.
 	Allows func(version string) bool
 	// Target is set if the request goes to the new version. Part, if not 0, is the part of
@@ -130,17 +130,17 @@
 
 // Servers returns those of the given servers that may get the request. identify returns a
 // server's ID and version.
-func Servers[S any](side *Side, servers []S, identify func(S) (id, version string)) []S {
-	if side.Allows == nil {
+func Servers[S any](filter *ServerFilter, servers []S, identify func(S) (id, version string)) []S {
+	if filter.Allows == nil {
 		return servers
 	}
 	var out []S
 	for _, s := range servers {
-		if _, version := identify(s); side.Allows(version) {
+		if _, version := identify(s); filter.Allows(version) {
 			out = append(out, s)
 		}
 	}
-	if side.Part == 0 {
+	if filter.Part == 0 {
 		return out
 	}
 	hash := func(s S) uint64 {
@@ -148,7 +148,7 @@
 		return xxh3.HashString(id)
 	}
 	slices.SortFunc(out, func(a, b S) int { return cmp.Compare(hash(a), hash(b)) })
-	return out[:max(int(math.Ceil(side.Part*float64(len(out)))), min(len(out), minBadServers))]
+	return out[:max(int(math.Ceil(filter.Part*float64(len(out)))), min(len(out), minBadServers))]
 }
 
 // serverShareFactor is the ratio of the part of the new version's servers that get requests to
@@ -157,12 +157,12 @@
 
 // Choose returns which servers the next request of a service may go to, and counts the request
 // if that is the new version. Withdraw undoes the count; CountRequest follows once the request is sent.
-func (t *Table) Choose(name string, now time.Time) Side {
+func (t *Table) Choose(name string, now time.Time) ServerFilter {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := t.services[name]
 	if s == nil {
-		return Side{}
+		return ServerFilter{}
 	}
 	excludedVersions := excluded(s.status.Excluded)
 	r := s.release
@@ -170,18 +170,18 @@
 		if r != nil && r.machine.Is(StateRolledBack) {
 			excludedVersions = excludedVersions.with(r.order.Target)
 		}
-		return Side{Allows: func(version string) bool { return !slices.Contains(excludedVersions, version) }}
+		return ServerFilter{Allows: func(version string) bool { return !slices.Contains(excludedVersions, version) }}
 	}
 	target := r.order.Target
 	share, extra := r.share(t.terms, now)
 	switch {
 	case share >= 1:
-		return Side{Target: true, Allows: func(version string) bool { return version == target }}
+		return ServerFilter{Target: true, Allows: func(version string) bool { return version == target }}
 	case float64(r.targetRequests+1) <= share*float64(r.requests+1)+float64(extra):
 		r.targetRequests++
-		return Side{Target: true, Part: min(1, serverShareFactor*t.terms.Share), Allows: func(version string) bool { return version == target }}
+		return ServerFilter{Target: true, Part: min(1, serverShareFactor*t.terms.Share), Allows: func(version string) bool { return version == target }}
 	default:
-		return Side{Allows: func(version string) bool { return version != target && !slices.Contains(excludedVersions, version) }}
+		return ServerFilter{Allows: func(version string) bool { return version != target && !slices.Contains(excludedVersions, version) }}
 	}
 }
 
@@ -196,16 +196,16 @@
 
 // Withdraw undoes the count of a request to the new version, none of whose servers could accept
 // it. It returns the servers with other versions, to which the request may go instead.
-func (t *Table) Withdraw(name string) Side {
+func (t *Table) Withdraw(name string) ServerFilter {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := t.services[name]
 	if s == nil || s.release == nil {
-		return Side{}
+		return ServerFilter{}
 	}
 	s.release.targetRequests = max(0, s.release.targetRequests-1)
 	target, excludedVersions := s.release.order.Target, s.status.Excluded
-	return Side{Allows: func(version string) bool { return version != target && !slices.Contains(excludedVersions, version) }}
+	return ServerFilter{Allows: func(version string) bool { return version != target && !slices.Contains(excludedVersions, version) }}
 }
 
 // RecordAnswer records an answer of a server with a version.
--- a/internal/schedule/schedule.go
+++ b/internal/schedule/schedule.go
@@ -131,14 +131,14 @@
 		capacity = req.Service.Engine.CacheTokens
 	}
 	for {
-		side := s.Canaries.Choose(req.Service.Name, now)
+		filter := s.Canaries.Choose(req.Service.Name, now)
 		prompts := map[int64]prefix.Prompt{}
-		decision, err := s.decideByVersion(req, &side, capacity, prompts, now)
+		decision, err := s.decideByVersion(req, &filter, capacity, prompts, now)
 		if err != nil {
 			return nil, err
 		}
 		c := s.commit(req, decision, prompts, capacity, now)
-		if side.Target && (c == nil || c.Hold > 0) {
+		if filter.Target && (c == nil || c.Hold > 0) {
 			s.Canaries.Withdraw(req.Service.Name)
 		}
 		if c == nil {
@@ -155,21 +155,21 @@
 // decideByVersion picks among the replicas with the software versions that the request may
 // be sent to. If it is meant for the target version of a canary release but no replica with
 // that version can accept it, it is sent to the other versions.
-func (s *Scheduler) decideByVersion(req *Request, side *canary.Side, capacity int, prompts map[int64]prefix.Prompt, now time.Time) (route.Decision, error) {
-	if !side.Target {
-		return s.decideFromCandidates(req, side, capacity, prompts, now)
+func (s *Scheduler) decideByVersion(req *Request, filter *canary.ServerFilter, capacity int, prompts map[int64]prefix.Prompt, now time.Time) (route.Decision, error) {
+	if !filter.Target {
+		return s.decideFromCandidates(req, filter, capacity, prompts, now)
 	}
 	all := s.replicas.Snapshot(req.Service.Name, req.Model, capacity, now)
-	decision, err := s.decide(req, allowed(all, side), prompts, now)
+	decision, err := s.decide(req, allowed(all, filter), prompts, now)
 	if err != nil {
-		*side = s.Canaries.Withdraw(req.Service.Name)
-		return s.decideFromCandidates(req, side, capacity, prompts, now)
+		*filter = s.Canaries.Withdraw(req.Service.Name)
+		return s.decideFromCandidates(req, filter, capacity, prompts, now)
 	}
 	return decision, nil
 }
 
-func allowed(replicas []route.Replica, side *canary.Side) []route.Replica {
-	return canary.Servers(side, replicas, func(r route.Replica) (id, version string) { return r.ID, r.Software })
+func allowed(replicas []route.Replica, filter *canary.ServerFilter) []route.Replica {
+	return canary.Servers(filter, replicas, func(r route.Replica) (id, version string) { return r.ID, r.Software })
 }
 
 // busyTargets is the wait behind other requests, in units of the latency target, above which
@@ -179,23 +179,23 @@
 // decideFromCandidates picks among the replicas to which requests with the same prefix
 // blocks are sent. With many replicas these are only some of them: if they are busy, others
 // are considered too, and if none is usable, all are.
-func (s *Scheduler) decideFromCandidates(req *Request, side *canary.Side, capacity int, prompts map[int64]prefix.Prompt, now time.Time) (route.Decision, error) {
+func (s *Scheduler) decideFromCandidates(req *Request, filter *canary.ServerFilter, capacity int, prompts map[int64]prefix.Prompt, now time.Time) (route.Decision, error) {
 	key := StoreKey(req.Blocks)
 	if len(req.Blocks) == 0 {
 		key = rand.Uint64()
 	}
 	some, all := s.replicas.Candidates(req.Service.Name, req.Model, key, capacity, now)
-	decision, err := s.decide(req, allowed(some, side), prompts, now)
+	decision, err := s.decide(req, allowed(some, filter), prompts, now)
 	switch {
 	case all:
 		return decision, err
 	case err != nil:
-		return s.decide(req, allowed(s.replicas.Snapshot(req.Service.Name, req.Model, capacity, now), side), prompts, now)
+		return s.decide(req, allowed(s.replicas.Snapshot(req.Service.Name, req.Model, capacity, now), filter), prompts, now)
 	case float64(decision.QueueTime) <= busyTargets*float64(req.LatencyTarget):
 		return decision, nil
 	}
 	others, _ := s.replicas.Candidates(req.Service.Name, req.Model, rand.Uint64(), capacity, now)
-	other, err := s.decide(req, allowed(others, side), prompts, now)
+	other, err := s.decide(req, allowed(others, filter), prompts, now)
 	if err == nil && other.Score < decision.Score {
 		return other, nil
 	}
