--- a/internal/canary/rollout.go
+++ b/internal/canary/rollout.go
@@ -199,8 +199,8 @@
 	return r.permit.Share, r.permit.Extra
 }
 
-// Situation is the state of a service's servers, as far as the lease holder knows.
-type Situation struct {
+// ServiceLoad is the state of a service's servers, as far as the lease holder knows.
+type ServiceLoad struct {
 	// Targets and Olds are the numbers of ready servers with the new version and with other
 	// versions, and TargetSlots how many requests the former run concurrently.
 	Targets, Olds, TargetSlots int
@@ -223,7 +223,7 @@
 }
 
 // decide returns the decision for the lease holder to carry out now.
-func (r *release) decide(t Terms, s Situation, now time.Time) Decision {
+func (r *release) decide(t Terms, s ServiceLoad, now time.Time) Decision {
 	elapsed := now.Sub(r.startedAt)
 	all := r.totals()
 	answers := all.get(0).target.Answers
@@ -263,7 +263,7 @@
 }
 
 // unmetCondition describes what prevents moving all requests to the new version, or returns "".
-func (r *release) unmetCondition(all routeCounts, s Situation) string {
+func (r *release) unmetCondition(all routeCounts, s ServiceLoad) string {
 	pair := all.get(0)
 	switch {
 	case s.Targets == 0:
--- a/internal/canary/simulate_test.go
+++ b/internal/canary/simulate_test.go
@@ -62,7 +62,7 @@
 // run simulates the whole release; the first host holds the lease.
 func (s *simRelease) run() {
 	began := s.now
-	situation := Situation{Targets: s.servers, Olds: s.servers, TargetSlots: 16 * s.servers, Running: 50, Hosts: len(s.hosts)}
+	load := ServiceLoad{Targets: s.servers, Olds: s.servers, TargetSlots: 16 * s.servers, Running: 50, Hosts: len(s.hosts)}
 	for s.state == "" && s.now.Sub(began) < simDuration+time.Second {
 		for i, t := range s.hosts {
 			n := s.perSecond * simTick.Seconds() / float64(len(s.hosts))
@@ -74,11 +74,11 @@
 				continue
 			}
 			if t.isShifting(simService) {
-				situation.OldRunning = 0
+				load.OldRunning = 0
 			} else {
-				situation.OldRunning = 40
+				load.OldRunning = 40
 			}
-			d, st := t.Decide(simService, 3, situation, []string{"v1", "v2"}, s.now)
+			d, st := t.Decide(simService, 3, load, []string{"v1", "v2"}, s.now)
 			if st != nil {
 				for _, other := range s.hosts {
 					other.ApplyStatus(*st, s.now)
@@ -236,7 +236,7 @@
 				s.request(host, 0)
 			}
 			if i == 0 {
-				_, st := host.Decide(simService, 3, Situation{Targets: 9, Olds: 9, TargetSlots: 99, OldRunning: 1}, nil, s.now)
+				_, st := host.Decide(simService, 3, ServiceLoad{Targets: 9, Olds: 9, TargetSlots: 99, OldRunning: 1}, nil, s.now)
 				if st != nil {
 					host.ApplyStatus(*st, s.now)
 				}
--- a/internal/canary/table.go
+++ b/internal/canary/table.go
@@ -280,7 +280,7 @@
 // Decide returns the decision of the lease holder, whose fencing token is generation, on a
 // service, and the status to write to the store, if any. versions are the versions of the
 // service's servers. A permit takes effect on this host at once.
-func (t *Table) Decide(name string, generation int64, situation Situation, versions []string, now time.Time) (Decision, *Status) {
+func (t *Table) Decide(name string, generation int64, load ServiceLoad, versions []string, now time.Time) (Decision, *Status) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := t.services[name]
@@ -288,7 +288,7 @@
 		return Decision{}, nil
 	}
 	r := s.release
-	d := r.decide(t.terms, situation, now)
+	d := r.decide(t.terms, load, now)
 	st := Status{
 		Service: name, Target: r.order.Target, State: StateRunning, Offset: r.order.Offset, Generation: generation,
 		Began: r.startedAt, Excluded: s.status.Excluded,
--- a/internal/node/moves.go
+++ b/internal/node/moves.go
@@ -126,8 +126,8 @@
 }
 
 // serviceLoad sums up the servers and requests of the target version and of the other ones.
-func serviceLoad(versions map[string]replica.VersionLoad, target string) canary.Situation {
-	var s canary.Situation
+func serviceLoad(versions map[string]replica.VersionLoad, target string) canary.ServiceLoad {
+	var s canary.ServiceLoad
 	for version, v := range versions {
 		s.Running += v.Requests
 		if version == target {
