--- a/internal/canary/rollout.go
+++ b/internal/canary/rollout.go
@@ -201,9 +201,9 @@
 
 // ServiceLoad is the state of a service's servers, as far as the lease holder knows.
 type ServiceLoad struct {
-	// Targets and Olds are the numbers of ready servers with the new version and with other
+	// TargetServers and OldServers are the numbers of ready servers with the new version and with other
 	// versions, and TargetSlots how many requests the former run concurrently.
-	Targets, Olds, TargetSlots int
+	TargetServers, OldServers, TargetSlots int
 	// Running is the number of unfinished requests of all hosts, and OldRunning of those at
 	// the old version.
 	Running, OldRunning int
@@ -233,13 +233,13 @@
 		return Decision{State: StateRolledBack, Reason: "answers show that the new version is worse"}
 	case elapsed >= r.order.Duration && !r.machine.Is(StateMoving):
 		return Decision{State: StateRolledBack, Reason: "not moved in time: " + r.unmetCondition(all, s)}
-	case s.Olds == 0 && s.Targets > 0 && s.OldRunning == 0:
+	case s.OldServers == 0 && s.TargetServers > 0 && s.OldRunning == 0:
 		return Decision{State: StateDone, Reason: "no other version is left"}
 	case r.machine.Is(StateMoving) && (s.OldRunning == 0 || elapsed >= r.order.Duration-storeMargin):
 		return Decision{State: StateDone, Reason: "all requests moved"}
 	case r.machine.Is(StateMoving), elapsed >= shiftStart && r.unmetCondition(all, s) == "":
 		return Decision{Share: 1}
-	case s.Targets == 0:
+	case s.TargetServers == 0:
 		return Decision{}
 	default:
 		return Decision{
@@ -266,7 +266,7 @@
 func (r *release) unmetCondition(all routeCounts, s ServiceLoad) string {
 	pair := all.get(0)
 	switch {
-	case s.Targets == 0:
+	case s.TargetServers == 0:
 		return "no server with the new version is ready"
 	case s.TargetSlots < s.Running:
 		return "too few servers with the new version are ready"
--- a/internal/canary/simulate_test.go
+++ b/internal/canary/simulate_test.go
@@ -62,7 +62,7 @@
 // run simulates the whole release; the first host holds the lease.
 func (s *simRelease) run() {
 	began := s.now
-	load := ServiceLoad{Targets: s.servers, Olds: s.servers, TargetSlots: 16 * s.servers, Running: 50, Hosts: len(s.hosts)}
+	load := ServiceLoad{TargetServers: s.servers, OldServers: s.servers, TargetSlots: 16 * s.servers, Running: 50, Hosts: len(s.hosts)}
 	for s.state == "" && s.now.Sub(began) < simDuration+time.Second {
 		for i, t := range s.hosts {
 			n := s.perSecond * simTick.Seconds() / float64(len(s.hosts))
@@ -236,7 +236,7 @@
 				s.request(host, 0)
 			}
 			if i == 0 {
-				_, st := host.Decide(simService, 3, ServiceLoad{Targets: 9, Olds: 9, TargetSlots: 99, OldRunning: 1}, nil, s.now)
+				_, st := host.Decide(simService, 3, ServiceLoad{TargetServers: 9, OldServers: 9, TargetSlots: 99, OldRunning: 1}, nil, s.now)
 				if st != nil {
 					host.ApplyStatus(*st, s.now)
 				}
--- a/internal/node/moves.go
+++ b/internal/node/moves.go
@@ -112,7 +112,7 @@
 	load := serviceLoad(versions, target)
 	v := n.members.View(now)
 	load.Hosts = addUnseenHosts(n.canaryHosts.observe(len(v.Routing), now), v.Live, n.unseenAddresses(v, now))
-	n.canaries.Evaluate(service, load.Targets, now)
+	n.canaries.Evaluate(service, load.TargetServers, now)
 	if !n.releaseStatuses.Synced() || !n.acquireCanaryLease(ctx, now) {
 		return
 	}
@@ -131,11 +131,11 @@
 	for version, v := range versions {
 		s.Running += v.Requests
 		if version == target {
-			s.Targets += v.Servers
+			s.TargetServers += v.Servers
 			s.TargetSlots += v.Slots
 			continue
 		}
-		s.Olds += v.Servers
+		s.OldServers += v.Servers
 		s.OldRunning += v.Requests
 	}
 	return s
