--- a/internal/node/gossip.go
+++ b/internal/node/gossip.go
@@ -142,7 +142,7 @@
 	b.Routing, b.Asks = v.Here, v.All
 	b.OperatorsAgeMs = ageMs(n.operatorsReadAge(now))
 	b.EntriesAgeMs = ageMs(n.servers.Age(now))
-	b.LeaseEnd = n.lease.HeldEnd()
+	b.LeaseEnd = n.lease.LogEndIfHeld()
 	for _, t := range n.sharedTopics() {
 		if t.Synced() {
 			b.Positions = append(b.Positions, &pb.TopicPosition{Topic: t.Name(), End: t.End()})
--- a/internal/rollout/ask.go
+++ b/internal/rollout/ask.go
@@ -20,7 +20,7 @@
 // replicas. Without them a replica that recovers would wait until the lease has ended,
 // 3.3 s, and 2.4 s more if no other host takes it.
 func (l *Loader) replicasToProbe(outdated []loadTarget, now time.Time) []loadTarget {
-	held := l.lease.HeldEnd() != 0
+	held := l.lease.LogEndIfHeld() != 0
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !held || !l.hasYielded() || !l.yieldedAfterFailures || !l.mayResume() || now.Sub(l.lastProbe) < probeInterval {
--- a/internal/rollout/lease.go
+++ b/internal/rollout/lease.go
@@ -128,8 +128,8 @@
 	return l.fencing, l.tookFromOther
 }
 
-// HeldEnd returns the end of the log if this process holds the lease, else 0.
-func (l *Lease) HeldEnd() int64 {
+// LogEndIfHeld returns the end of the log if this process holds the lease, else 0.
+func (l *Lease) LogEndIfHeld() int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !l.machine.Is(StateHeld) {
--- a/internal/rollout/lease_test.go
+++ b/internal/rollout/lease_test.go
@@ -271,7 +271,7 @@
 		synctest.Wait()
 		for range 100 {
 			holder.Try(ctx)
-			other.ApplyHolderReport("a", holder.HeldEnd())
+			other.ApplyHolderReport("a", holder.LogEndIfHeld())
 			if other.Try(ctx) {
 				t.Fatal("taken over from a holder that renews")
 			}
--- a/internal/rollout/loader.go
+++ b/internal/rollout/loader.go
@@ -175,7 +175,7 @@
 // plan returns the replicas to load now and records an attempt for each. It takes or renews
 // the lease if it is this host's turn.
 func (l *Loader) plan(ctx context.Context, outdated []loadTarget, now time.Time) []loadTarget {
-	held := l.lease.HeldEnd() != 0
+	held := l.lease.LogEndIfHeld() != 0
 	l.mu.Lock()
 	if len(outdated) == 0 {
 		l.progress = progress{since: now}
