--- a/internal/node/gossip.go
+++ b/internal/node/gossip.go
@@ -168,7 +168,7 @@
 	if atInterval {
 		b.Paces = n.replicas.Slowdowns()
 	}
-	b.Loading = n.loader.Busy()
+	b.Loading = n.loader.LoadingReplicas()
 	b.Down, _ = n.replicas.DownServers(now)
 	b.Named = n.replicas.NamedVersions(now)
 	if n.canaryLease.Valid() {
--- a/internal/rollout/loader.go
+++ b/internal/rollout/loader.go
@@ -276,8 +276,8 @@
 	return out
 }
 
-// Busy returns the IDs of the replicas with an attempt in progress, sorted.
-func (l *Loader) Busy() []string {
+// LoadingReplicas returns the IDs of the replicas with an attempt in progress, sorted.
+func (l *Loader) LoadingReplicas() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var out []string
