--- a/internal/node/gossip.go
+++ b/internal/node/gossip.go
@@ -177,7 +177,7 @@
 	if atInterval && n.canaries.HasUnreported() {
 		b.MoveAnswers = n.canaries.Answers()
 	}
-	n.loader.Recent(now, func(id, model string, version int64) {
+	n.loader.EachRecentLoad(now, func(id, model string, version int64) {
 		b.Weights = append(b.Weights, &pb.ReplicaWeights{Replica: id, Model: model, Version: version})
 	})
 }
--- a/internal/rollout/loader.go
+++ b/internal/rollout/loader.go
@@ -288,8 +288,8 @@
 	return out
 }
 
-// Recent calls f for each replica that reported loaded weights within recentRetention.
-func (l *Loader) Recent(now time.Time, f func(id, model string, version int64)) {
+// EachRecentLoad calls f for each replica that reported loaded weights within recentRetention.
+func (l *Loader) EachRecentLoad(now time.Time, f func(id, model string, version int64)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	recent := l.recentLoads[:0]
--- a/internal/rollout/loader_test.go
+++ b/internal/rollout/loader_test.go
@@ -397,7 +397,7 @@
 			t.Errorf("assumed: %v", fleet.assumed)
 		}
 		reported := map[string]int64{}
-		loader.Recent(time.Now(), func(id, _ string, version int64) { reported[id] = version })
+		loader.EachRecentLoad(time.Now(), func(id, _ string, version int64) { reported[id] = version })
 		if reported["i-0"] != 2 {
 			t.Errorf("reported to other hosts: %v", reported)
 		}
