--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -246,9 +246,9 @@
 	n.canaryLease.Topic, n.canaryLease.Purpose, n.canaryLease.Follows = platform.MoveLeaseTopic, "moves", n.followsCanaryLease
 	n.loader = rollout.NewLoader(n.lease, n.engines, n.replicas, log, s.Host.Id, platform.LoadMode(s.Weights.Mode), int(s.Weights.Concurrency))
 	n.loader.Rank = n.rank
-	n.loader.Changed = n.requestHeartbeat
-	n.loader.Loaded = n.index.Clear
-	n.loader.Ordered = func() { n.metrics.Orders.Inc(1) }
+	n.loader.OnChange = n.requestHeartbeat
+	n.loader.OnLoaded = n.index.Clear
+	n.loader.OnOrder = func() { n.metrics.Orders.Inc(1) }
 	return n
 }
 
--- a/internal/rollout/loader.go
+++ b/internal/rollout/loader.go
@@ -94,12 +94,12 @@
 	concurrency int
 	// Rank returns this host's place among those that could take the lease.
 	Rank func() int
-	// Changed is called when other hosts should be notified at once.
-	Changed func()
-	// Loaded is called when a replica is found to hold other weights than before.
-	Loaded func(id string)
-	// Ordered is called for each load order that is sent.
-	Ordered func()
+	// OnChange is called when other hosts should be notified at once.
+	OnChange func()
+	// OnLoaded is called when a replica is found to hold other weights than before.
+	OnLoaded func(id string)
+	// OnOrder is called for each load order that is sent.
+	OnOrder func()
 
 	mu sync.Mutex
 	// attempts holds the attempts in progress, by replica.
@@ -144,7 +144,7 @@
 func NewLoader(lease *Lease, engine Engine, replicas Replicas, log *logrus.Logger, holder string, mode platform.LoadMode, concurrency int) *Loader {
 	return &Loader{
 		lease: lease, engine: engine, replicas: replicas, log: log, holder: holder, mode: mode, concurrency: concurrency,
-		Rank: func() int { return 0 }, Changed: func() {}, Loaded: func(string) {}, Ordered: func() {},
+		Rank: func() int { return 0 }, OnChange: func() {}, OnLoaded: func(string) {}, OnOrder: func() {},
 		attempts: map[string]*attempt{}, orderSequences: map[string]int64{}, failed: map[string]failure{}, newestWanted: map[string]int64{},
 	}
 }
--- a/internal/rollout/order.go
+++ b/internal/rollout/order.go
@@ -104,7 +104,7 @@
 // markLoading keeps new requests of all hosts away from a replica for loadingMarkTTL.
 func (l *Loader) markLoading(t loadTarget) {
 	l.replicas.MarkLoading(t.server.ID, clock.Now().Add(loadingMarkTTL))
-	l.Changed()
+	l.OnChange()
 }
 
 func (l *Loader) orderSequence(id string) (int64, bool) {
@@ -176,7 +176,7 @@
 	if !l.lease.Valid() {
 		return platform.OrderRefused, errLeaseEnded
 	}
-	l.Ordered()
+	l.OnOrder()
 	result, err := l.engine.Order(ctx, t.server.Address, o)
 	l.recordCall(t.server.ID, err == nil)
 	entry := l.log.WithFields(logrus.Fields{
--- a/internal/rollout/verify.go
+++ b/internal/rollout/verify.go
@@ -52,7 +52,7 @@
 	}
 	l.log.WithFields(logrus.Fields{"replica": id, "model": model, "believed": assumed, "version": version}).Warn("replica went back to older weights")
 	l.Forget(id)
-	l.Loaded(id)
+	l.OnLoaded(id)
 }
 
 // recordWeights records weights that a replica itself reported, and notifies other hosts.
@@ -61,6 +61,6 @@
 	l.mu.Lock()
 	l.recentLoads = append(l.recentLoads, loadedWeights{id, model, version, clock.Now()})
 	l.mu.Unlock()
-	l.Loaded(id)
-	l.Changed()
+	l.OnLoaded(id)
+	l.OnChange()
 }
