--- a/internal/member/spread.go
+++ b/internal/member/spread.go
@@ -95,9 +95,9 @@
 	}
 }
 
-// Now returns the audience of a heartbeat between two intervals: the routing hosts, or with
+// ImmediateAudience returns the audience of a heartbeat between two intervals: the routing hosts, or with
 // all set every host that this one sends heartbeats to.
-func (t *Table) Now(all bool, now time.Time) Audience {
+func (t *Table) ImmediateAudience(all bool, now time.Time) Audience {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	v := t.viewAt(now)
--- a/internal/node/gossip.go
+++ b/internal/node/gossip.go
@@ -58,7 +58,7 @@
 func (n *Node) sendRequestedHeartbeat() {
 	now := clock.Now()
 	all := n.heartbeatToAll.Swap(false)
-	n.sendHeartbeat(n.members.Now(all, now), false, now)
+	n.sendHeartbeat(n.members.ImmediateAudience(all, now), false, now)
 }
 
 // setState reports this host's state to the membership table after each change, so that the
--- a/internal/node/refusals_test.go
+++ b/internal/node/refusals_test.go
@@ -258,7 +258,7 @@
 	case !admitted && entitled:
 		f.refused += float64(cost)
 	case admitted && h.n.limiter.ShouldReportNow(o.name):
-		f.sendHeartbeat(h.n, h.n.members.Now(false, now), false, now)
+		f.sendHeartbeat(h.n, h.n.members.ImmediateAudience(false, now), false, now)
 	}
 }
 
