--- a/internal/member/fleet_test.go
+++ b/internal/member/fleet_test.go
@@ -96,7 +96,7 @@
 
 func (s *sim) sendHeartbeats(h *simHost) {
 	h.table.Expire(s.now)
-	to := h.table.Tick(h.tick, false, s.now)
+	to := h.table.IntervalAudience(h.tick, false, s.now)
 	h.tick++
 	v := h.table.View(s.now)
 	for _, kind := range []struct {
--- a/internal/member/spread.go
+++ b/internal/member/spread.go
@@ -56,10 +56,10 @@
 	Ask []string
 }
 
-// Tick returns the audience of the heartbeat of an interval. working is set if this host has
+// IntervalAudience returns the audience of the heartbeat of an interval. working is set if this host has
 // requests in flight at backend servers, of which the routing hosts must be notified even if
 // it is on standby. A standby host with a relay leaves probing to it.
-func (t *Table) Tick(tick int, working bool, now time.Time) Audience {
+func (t *Table) IntervalAudience(tick int, working bool, now time.Time) Audience {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	v := t.viewAt(now)
--- a/internal/member/table_test.go
+++ b/internal/member/table_test.go
@@ -111,7 +111,7 @@
 	table.Expire(now)
 	probed := 0
 	for tick := range 20 {
-		probed += len(table.Tick(tick, false, now).Ask)
+		probed += len(table.IntervalAudience(tick, false, now).Ask)
 		now = now.Add(100 * time.Millisecond)
 	}
 	if probed < 3 || probed > 5 {
@@ -119,7 +119,7 @@
 	}
 	now = now.Add(probeTTL)
 	table.Expire(now)
-	if got := table.Tick(0, false, now).Ask; len(got) != 0 {
+	if got := table.IntervalAudience(0, false, now).Ask; len(got) != 0 {
 		t.Errorf("still probed: %v", got)
 	}
 }
--- a/internal/node/gossip.go
+++ b/internal/node/gossip.go
@@ -38,7 +38,7 @@
 	for tick := 0; ; {
 		now := clock.Now()
 		n.updateLimitShares(now)
-		n.sendHeartbeat(n.members.Tick(tick, n.replicas.HasRequests() || n.limiter.HasUnreported() || n.crashes.HasUnreported(), now), true, now)
+		n.sendHeartbeat(n.members.IntervalAudience(tick, n.replicas.HasRequests() || n.limiter.HasUnreported() || n.crashes.HasUnreported(), now), true, now)
 		tick++
 		for untilTick := true; untilTick; {
 			select {
--- a/internal/node/refusals_test.go
+++ b/internal/node/refusals_test.go
@@ -172,7 +172,7 @@
 	}
 	n.expireHosts(now)
 	n.updateLimitShares(now)
-	f.sendHeartbeat(n, n.members.Tick(h.tick, n.limiter.HasUnreported(), now), true, now)
+	f.sendHeartbeat(n, n.members.IntervalAudience(h.tick, n.limiter.HasUnreported(), now), true, now)
 	h.tick++
 }
 
