--- a/internal/member/fleet_test.go
+++ b/internal/member/fleet_test.go
@@ -75,7 +75,7 @@
 	h.table = NewTable(proto.CloneOf(h.self), testDeadAfter)
 	h.tick = s.rng.IntN(fromStandbyTicks)
 	for i := 0; i < min(3, len(s.hosts)); i++ {
-		h.table.Learn(s.hosts[i].self.PeerAddress, s.now)
+		h.table.AddPeer(s.hosts[i].self.PeerAddress, s.now)
 	}
 }
 
--- a/internal/member/table.go
+++ b/internal/member/table.go
@@ -137,9 +137,9 @@
 	}
 }
 
-// Learn adds the peer address of a host, to be probed until a host is seen there or probeTTL
+// AddPeer adds the peer address of a host, to be probed until a host is seen there or probeTTL
 // has passed.
-func (t *Table) Learn(peer string, now time.Time) {
+func (t *Table) AddPeer(peer string, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.addProbe(peer, now)
--- a/internal/node/beliefs.go
+++ b/internal/node/beliefs.go
@@ -100,7 +100,7 @@
 		n.log.WithError(err).Error("host's record not taken")
 		return
 	}
-	n.members.Learn(h.PeerAddress, clock.Now())
+	n.members.AddPeer(h.PeerAddress, clock.Now())
 }
 
 // entryView returns the configuration and the time during which a newer one could have been
--- a/internal/node/limits_test.go
+++ b/internal/node/limits_test.go
@@ -132,7 +132,7 @@
 	n.limiter = quota.NewLimiter(quota.Terms{}, time.Second, n.started)
 	n.hosts.Snapshot(platform.Page{}, true)
 	for _, id := range []string{"b", "c", "d", "e", "f"} {
-		n.members.Learn(id+":5", clock.Now())
+		n.members.AddPeer(id+":5", clock.Now())
 	}
 	for _, id := range []string{"b", "c"} {
 		n.receiveHeartbeat(&pb.Heartbeat{
--- a/internal/node/loops_test.go
+++ b/internal/node/loops_test.go
@@ -155,7 +155,7 @@
 		for _, n := range hosts {
 			n.hosts.Snapshot(platform.Page{}, true)
 			for _, other := range hosts {
-				n.members.Learn(other.settings.Listen.Peer, time.Now())
+				n.members.AddPeer(other.settings.Listen.Peer, time.Now())
 			}
 		}
 		sides := [][]*Node{hosts[:4], hosts[4:]}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -437,7 +437,7 @@
 func (n *Node) addSeeds(ips []string) {
 	now := clock.Now()
 	for _, ip := range ips {
-		n.members.Learn(n.peerAddress(ip), now)
+		n.members.AddPeer(n.peerAddress(ip), now)
 	}
 }
 
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -143,7 +143,7 @@
 		return netdial.New(waitLimit).DialContext(ctx, "tcp4", address)
 	}
 	for _, p := range peers {
-		n.members.Learn(p.settings.Listen.Peer, time.Now())
+		n.members.AddPeer(p.settings.Listen.Peer, time.Now())
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	h := &host{set, n, stop, make(chan struct{})}
--- a/internal/node/refusals_test.go
+++ b/internal/node/refusals_test.go
@@ -124,7 +124,7 @@
 	}
 	n.limiter.SetLimits(organisations, n.started)
 	for seed := range min(3, len(f.hosts)) {
-		n.members.Learn(fmt.Sprint("host-", seed, ":5"), n.started)
+		n.members.AddPeer(fmt.Sprint("host-", seed, ":5"), n.started)
 	}
 	h.n, h.addressesRead, h.tick = n, false, f.rng.IntN(100)
 	h.readyAt = n.started.Add(startTime)
