--- a/internal/member/table.go
+++ b/internal/member/table.go
@@ -165,9 +165,9 @@
 	return h != nil && h.dead && !h.heartbeat.Leaving
 }
 
-// KnowsOthers reports whether this host knows the address of any other host, whether or not
+// HasPeers reports whether this host knows the address of any other host, whether or not
 // that host was ever seen.
-func (t *Table) KnowsOthers() bool {
+func (t *Table) HasPeers() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return len(t.hosts)+len(t.probes) > 0
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -95,7 +95,7 @@
 // total.
 func (n *Node) unseenHosts(v *member.View, now time.Time) int {
 	unseen := n.unseenAddresses(v, now)
-	if !n.hosts.Synced() && n.members.KnowsOthers() && now.Sub(n.started) < countRetention {
+	if !n.hosts.Synced() && n.members.HasPeers() && now.Sub(n.started) < countRetention {
 		unseen = max(unseen, quota.AssumedHosts-v.Live)
 	}
 	return unseen
