--- a/internal/member/table.go
+++ b/internal/member/table.go
@@ -173,9 +173,9 @@
 	return len(t.hosts)+len(t.probes) > 0
 }
 
-// UnheardAddresses returns the number of peer addresses added within maxAge from which no
+// UnseenAddresses returns the number of peer addresses added within maxAge from which no
 // host has been seen. Their hosts may have stopped, or may be running but unreachable.
-func (t *Table) UnheardAddresses(maxAge time.Duration, now time.Time) int {
+func (t *Table) UnseenAddresses(maxAge time.Duration, now time.Time) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	n := 0
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -104,7 +104,7 @@
 // unseenAddresses returns the number of known addresses from which no heartbeat was received,
 // less the live hosts of which this host knows only the number.
 func (n *Node) unseenAddresses(v *member.View, now time.Time) int {
-	return max(0, n.members.UnheardAddresses(countRetention, now)-v.Unknown)
+	return max(0, n.members.UnseenAddresses(countRetention, now)-v.Unknown)
 }
 
 // addUnseenHosts returns the number of hosts that share limits, including unseen ones. The same
