--- a/internal/member/table.go
+++ b/internal/member/table.go
@@ -204,8 +204,8 @@
 	}
 }
 
-// SaysReady reports whether this host announces that it is ready.
-func (t *Table) SaysReady() bool {
+// AnnouncesReady reports whether this host announces that it is ready.
+func (t *Table) AnnouncesReady() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.self.Ready
--- a/internal/node/gossip.go
+++ b/internal/node/gossip.go
@@ -72,7 +72,7 @@
 
 // ready reports whether this host announces itself as ready. It does so only once its own
 // directory lists it: callers that came earlier would get an empty directory.
-func (n *Node) ready() bool { return n.machine.Is(StateReady) && n.members.SaysReady() }
+func (n *Node) ready() bool { return n.machine.Is(StateReady) && n.members.AnnouncesReady() }
 
 // leaving reports whether callers should connect elsewhere.
 func (n *Node) leaving() bool { return n.machine.Is(StateLeaving) || n.machine.Is(StateClosing) }
