--- a/internal/member/table.go
+++ b/internal/member/table.go
@@ -157,8 +157,8 @@
 	t.probes[peer] = &probe{addedAt: now}
 }
 
-// Lost reports whether a host was declared dead without having announced that it leaves.
-func (t *Table) Lost(host string) bool {
+// HasFailed reports whether a host was declared dead without having announced that it leaves.
+func (t *Table) HasFailed(host string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	h := t.hosts[host]
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -72,7 +72,7 @@
 	reachable := 1.0
 	switch {
 	case v.Here && others > 0:
-		remaining := max(1, hosts-n.routingHistory.countLost(v.Routing, n.members.Lost, now))
+		remaining := max(1, hosts-n.routingHistory.countLost(v.Routing, n.members.HasFailed, now))
 		reachable = float64(remaining) * min(1, float64(others+1)/float64(len(v.Routing)))
 		hosts = addUnseenHosts(hosts, v.Live, unseen)
 	case !v.Here && n.limiter.CountReachable(v.Relays, now) > 0:
