--- a/internal/member/view.go
+++ b/internal/member/view.go
@@ -167,9 +167,9 @@
 	return candidates[:min(len(candidates), relayCount)]
 }
 
-// Relayed reports whether this host is on standby and at least one of its relays sends
+// HasActiveRelay reports whether this host is on standby and at least one of its relays sends
 // heartbeats to it. Such a host has no need to read from the store.
-func (t *Table) Relayed(now time.Time) bool {
+func (t *Table) HasActiveRelay(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.activeRelays(t.viewAt(now), now) > 0
--- a/internal/node/loops.go
+++ b/internal/node/loops.go
@@ -66,7 +66,7 @@
 	operators.WaitNow = func() time.Duration { return operatorWait(n.rank()) }
 	operators.Fresh = n.skipsOperatorRead
 	operators.Hold = n.delaysFirstRead
-	hasRelay := func() bool { return n.members.Relayed(clock.Now()) }
+	hasRelay := func() bool { return n.members.HasActiveRelay(clock.Now()) }
 	hosts := follow(n.hosts, 0, hostReadInterval)
 	hosts.Fresh = hasRelay
 	hosts.Hold = func() bool { return n.delaysFirstRead() || hasRelay() || n.awaitsRelay() }
--- a/internal/node/refusals_test.go
+++ b/internal/node/refusals_test.go
@@ -166,7 +166,7 @@
 		statemachine.Fire(n.machine, eventSynced)
 		n.setState()
 	}
-	if !h.addressesRead && now.Sub(n.started) >= addressReadTime && !n.members.Relayed(now) {
+	if !h.addressesRead && now.Sub(n.started) >= addressReadTime && !n.members.HasActiveRelay(now) {
 		h.addressesRead = true
 		n.hosts.Snapshot(platform.Page{Records: f.addresses, End: int64(len(f.addresses))}, true)
 	}
--- a/internal/node/store.go
+++ b/internal/node/store.go
@@ -66,7 +66,7 @@
 func (n *Node) skipsOperatorRead() bool {
 	now := clock.Now()
 	v := n.members.View(now)
-	skip := othersReadOperators(v.Rank, len(v.Routing), v.Live, n.members.Relayed(now), n.operatorsAge(now))
+	skip := othersReadOperators(v.Rank, len(v.Routing), v.Live, n.members.HasActiveRelay(now), n.operatorsAge(now))
 	n.longPollsOperators.Store(!skip)
 	return skip
 }
@@ -100,7 +100,7 @@
 // and this host has all of them. A standby host with a relay always gets them from it.
 func (n *Node) skipsEntryRead() bool {
 	now := clock.Now()
-	if n.members.Relayed(now) {
+	if n.members.HasActiveRelay(now) {
 		return true
 	}
 	limit := maxEntriesAge + time.Duration(min(n.rank(), maxStaggeredHosts))*entriesStagger
