--- a/internal/member/fleet_test.go
+++ b/internal/member/fleet_test.go
@@ -112,7 +112,7 @@
 			b.Members = h.table.MemberStates(kind.standby, s.now)
 		}
 		if kind.standby {
-			b.Standby = h.table.Standby(s.now)
+			b.Standby = h.table.StandbyCounts(s.now)
 			h.table.AddDigest(b, s.now)
 		}
 		for _, part := range Split(b, func() uint64 { h.sequence++; return h.sequence }) {
--- a/internal/member/summary.go
+++ b/internal/member/summary.go
@@ -28,9 +28,9 @@
 	reportedAt time.Time
 }
 
-// Standby returns the number of live standby hosts of each zone, to be sent to standby
+// StandbyCounts returns the number of live standby hosts of each zone, to be sent to standby
 // hosts. It returns nil if these are sent the states of all of them.
-func (t *Table) Standby(now time.Time) []*pb.ZoneHosts {
+func (t *Table) StandbyCounts(now time.Time) []*pb.ZoneHosts {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	v := t.viewAt(now)
--- a/internal/node/gossip.go
+++ b/internal/node/gossip.go
@@ -122,7 +122,7 @@
 func (n *Node) standbyHeartbeat(state *pb.Heartbeat, now time.Time) *pb.Heartbeat {
 	out := proto.CloneOf(state)
 	out.Members = n.members.MemberStates(true, now)
-	out.Standby = n.members.Standby(now)
+	out.Standby = n.members.StandbyCounts(now)
 	n.members.AddDigest(out, now)
 	out.Uses = n.limiter.FullestBuckets(now)
 	out.Crashes = n.crashes.Refusals(now)
