--- a/internal/member/fleet_test.go
+++ b/internal/member/fleet_test.go
@@ -107,7 +107,7 @@
 			continue
 		}
 		b := proto.CloneOf(h.self)
-		b.Routing, b.Asks = v.Here, v.All || kind.ask
+		b.Routing, b.Asks = v.SelfRouting, v.All || kind.ask
 		if !kind.ask {
 			b.Members = h.table.MemberStates(kind.standby, s.now)
 		}
@@ -203,7 +203,7 @@
 	s.run(d)
 	seconds := int(d / time.Second)
 	for _, h := range s.hosts {
-		if h.down || h.table.View(s.now).Here != routing {
+		if h.down || h.table.View(s.now).SelfRouting != routing {
 			continue
 		}
 		sent, received, bytes = max(sent, h.sent/seconds), max(received, h.received/seconds), max(bytes, h.bytes/seconds)
@@ -406,7 +406,7 @@
 func (s *sim) shares() float64 {
 	sum := 0.0
 	for _, h := range s.hosts {
-		if v := h.table.View(s.now); !h.down && v.Here {
+		if v := h.table.View(s.now); !h.down && v.SelfRouting {
 			sum += 1 / float64(len(v.Routing))
 		}
 	}
--- a/internal/member/spread.go
+++ b/internal/member/spread.go
@@ -65,10 +65,10 @@
 	v := t.viewAt(now)
 	var a Audience
 	switch {
-	case v.All && (v.Here || tick%toStandbyTicks == 0):
+	case v.All && (v.SelfRouting || tick%toStandbyTicks == 0):
 		a = t.allLiveHosts(v, now)
 	case v.All:
-	case v.Here || working || t.self.Leaving:
+	case v.SelfRouting || working || t.self.Leaving:
 		a.Full = t.peerAddresses(v.Routing)
 	case tick%fromStandbyTicks == 0 || !t.self.Ready || t.activeRelays(v, now) < max(1, len(v.Relays)):
 		a.Ask = t.peerAddresses(v.Relays)
@@ -77,7 +77,7 @@
 		a.Brief = append(a.Brief, t.standbyAudience(now)...)
 	}
 	t.notifyFormerAudience(v, &a)
-	if v.Here || t.activeRelays(v, now) == 0 {
+	if v.SelfRouting || t.activeRelays(v, now) == 0 {
 		a.Ask = append(a.Ask, t.probeTargets(now)...)
 	}
 	return a
@@ -87,7 +87,7 @@
 // would otherwise declare the host dead.
 func (t *Table) notifyFormerAudience(v *View, a *Audience) {
 	switch {
-	case v.Here && !v.All:
+	case v.SelfRouting && !v.All:
 		t.routingAudience, t.finalHeartbeats = a.Full, finalHeartbeatCount
 	case t.finalHeartbeats > 0:
 		a.Brief = append(a.Brief, t.routingAudience...)
@@ -106,7 +106,7 @@
 		return Audience{Full: t.peerAddresses(v.Routing)}
 	case v.All:
 		return t.allLiveHosts(v, now)
-	case v.Here || t.self.Leaving:
+	case v.SelfRouting || t.self.Leaving:
 		return Audience{Full: t.peerAddresses(v.Routing), Brief: t.standbyAudience(now)}
 	default:
 		return Audience{Brief: t.standbyAudience(now)}
--- a/internal/member/summary.go
+++ b/internal/member/summary.go
@@ -34,7 +34,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	v := t.viewAt(now)
-	if !v.Here || v.Live-len(v.Routing) <= maxStandbySubset {
+	if !v.SelfRouting || v.Live-len(v.Routing) <= maxStandbySubset {
 		return nil
 	}
 	byZone := map[string]*pb.ZoneHosts{}
@@ -61,7 +61,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	v := t.viewAt(now)
-	if !v.Here || len(v.Routing) <= maxRoutingStates {
+	if !v.SelfRouting || len(v.Routing) <= maxRoutingStates {
 		return
 	}
 	maxAge := time.Duration(0)
--- a/internal/member/view.go
+++ b/internal/member/view.go
@@ -20,11 +20,11 @@
 
 // View is an immutable snapshot of the roles of all hosts, as this host sees them.
 type View struct {
-	// Routing hosts are those that callers are sent to; this one is among them if Here is set.
+	// Routing hosts are those that callers are sent to; this one is among them if SelfRouting is set.
 	// Serving are the ready hosts among them, or all ready hosts if none of them is.
-	Routing []*pb.Heartbeat
-	Serving []*pb.Heartbeat
-	Here    bool
+	Routing     []*pb.Heartbeat
+	Serving     []*pb.Heartbeat
+	SelfRouting bool
 	// Rank is this host's position in an order of all live hosts, routing hosts first. Hosts
 	// that see the same live hosts agree on the order.
 	Rank int
@@ -78,9 +78,9 @@
 	chosen := t.selectRouting(candidatesOf(live), cores)
 	t.updateRoutingSince(chosen, now)
 	liveCount := len(live) + max(unknown, excluded)
-	v := &View{Here: chosen[t.self.Host], Live: liveCount, Unknown: unknown, All: liveCount <= FewHosts, createdAt: now}
+	v := &View{SelfRouting: chosen[t.self.Host], Live: liveCount, Unknown: unknown, All: liveCount <= FewHosts, createdAt: now}
 	v.assignRoles(live, chosen, t.self)
-	if !v.Here {
+	if !v.SelfRouting {
 		v.Relays = t.selectRelays(v.Routing)
 	}
 	t.updateDirectSenders(v, live)
@@ -110,7 +110,7 @@
 			v.Serving = append(v.Serving, h.heartbeat)
 		}
 	}
-	if !v.Here {
+	if !v.SelfRouting {
 		// Unknown hosts are assumed to be spread evenly among the known ones in the order.
 		v.Rank = len(v.Routing) + standbyBefore*(standbyCount+1+v.Unknown)/(standbyCount+1)
 	}
@@ -124,7 +124,7 @@
 func (t *Table) updateDirectSenders(v *View, live []*host) {
 	t.directSenders = map[string]bool{}
 	senders := v.Relays
-	if v.Here {
+	if v.SelfRouting {
 		senders = v.Routing
 	}
 	for _, b := range senders {
--- a/internal/node/cache.go
+++ b/internal/node/cache.go
@@ -123,7 +123,7 @@
 	now := clock.Now()
 	c := n.config.Load()
 	v := n.members.View(now)
-	if c == nil || !v.Here {
+	if c == nil || !v.SelfRouting {
 		return out, false
 	}
 	for _, s := range c.Stores() {
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -71,11 +71,11 @@
 	others := n.limiter.CountReachable(v.Routing, now)
 	reachable := 1.0
 	switch {
-	case v.Here && others > 0:
+	case v.SelfRouting && others > 0:
 		remaining := max(1, hosts-n.routingHistory.countLost(v.Routing, n.members.HasFailed, now))
 		reachable = float64(remaining) * min(1, float64(others+1)/float64(len(v.Routing)))
 		hosts = addUnseenHosts(hosts, v.Live, unseen)
-	case !v.Here && n.limiter.CountReachable(v.Relays, now) > 0:
+	case !v.SelfRouting && n.limiter.CountReachable(v.Relays, now) > 0:
 		reachable = float64(hosts)
 	case live == 1:
 		hosts = addUnseenHosts(hosts, v.Live, unseen)
@@ -85,7 +85,7 @@
 		// Leaving hosts are no longer routing hosts but still admit requests.
 		hosts = max(hosts, live)
 	}
-	n.limiter.SetHosts(hosts, reachable, !v.Here, now)
+	n.limiter.SetHosts(hosts, reachable, !v.SelfRouting, now)
 	n.logShareChange(hosts, v.Live, unseen, now)
 }
 
--- a/internal/node/loops.go
+++ b/internal/node/loops.go
@@ -181,7 +181,7 @@
 func (n *Node) updateRetryBudget(now time.Time) {
 	slack := float64(n.settings.Retry.Slack) * slackShare
 	v := n.members.View(now)
-	if !v.Here || now.Sub(n.started) < discoveryTime {
+	if !v.SelfRouting || now.Sub(n.started) < discoveryTime {
 		slack = 0
 	}
 	hosts := n.budgetHosts.observe(len(v.Routing), now)
--- a/internal/node/moves.go
+++ b/internal/node/moves.go
@@ -155,7 +155,7 @@
 func (n *Node) mayAcquireCanaryLease(now time.Time) bool {
 	v := n.members.View(now)
 	vacant := n.canaryLease.VacantSince(now)
-	return !vacant.IsZero() && v.Here && now.Sub(vacant) >= time.Duration(v.Rank)*canaryRankDelay
+	return !vacant.IsZero() && v.SelfRouting && now.Sub(vacant) >= time.Duration(v.Rank)*canaryRankDelay
 }
 
 // writeReleaseStatus writes the status of an order, unless another host has written one that
--- a/internal/node/store.go
+++ b/internal/node/store.go
@@ -55,7 +55,7 @@
 // addresses at once, to know how many hosts share the limits.
 func (n *Node) awaitsRelay() bool {
 	now := clock.Now()
-	return now.Sub(n.started) < maxFirstReadDelay && !n.members.View(now).Here
+	return now.Sub(n.started) < maxFirstReadDelay && !n.members.View(now).SelfRouting
 }
 
 // followsLease reports whether this host may take the lease.
