--- a/internal/member/fleet_test.go
+++ b/internal/member/fleet_test.go
@@ -107,7 +107,7 @@
 			continue
 		}
 		b := proto.CloneOf(h.self)
-		b.Routing, b.Asks = v.SelfRouting, v.All || kind.ask
+		b.Routing, b.Asks = v.SelfRouting, v.FullMesh || kind.ask
 		if !kind.ask {
 			b.Members = h.table.MemberStates(kind.standby, s.now)
 		}
--- a/internal/member/spread.go
+++ b/internal/member/spread.go
@@ -65,15 +65,15 @@
 	v := t.viewAt(now)
 	var a Audience
 	switch {
-	case v.All && (v.SelfRouting || tick%toStandbyTicks == 0):
+	case v.FullMesh && (v.SelfRouting || tick%toStandbyTicks == 0):
 		a = t.allLiveHosts(v, now)
-	case v.All:
+	case v.FullMesh:
 	case v.SelfRouting || working || t.self.Leaving:
 		a.Full = t.peerAddresses(v.Routing)
 	case tick%fromStandbyTicks == 0 || !t.self.Ready || t.activeRelays(v, now) < max(1, len(v.Relays)):
 		a.Ask = t.peerAddresses(v.Relays)
 	}
-	if !v.All && tick%toStandbyTicks == 0 {
+	if !v.FullMesh && tick%toStandbyTicks == 0 {
 		a.Brief = append(a.Brief, t.standbyAudience(now)...)
 	}
 	t.notifyFormerAudience(v, &a)
@@ -87,7 +87,7 @@
 // would otherwise declare the host dead.
 func (t *Table) notifyFormerAudience(v *View, a *Audience) {
 	switch {
-	case v.SelfRouting && !v.All:
+	case v.SelfRouting && !v.FullMesh:
 		t.routingAudience, t.finalHeartbeats = a.Full, finalHeartbeatCount
 	case t.finalHeartbeats > 0:
 		a.Brief = append(a.Brief, t.routingAudience...)
@@ -104,7 +104,7 @@
 	switch {
 	case !all:
 		return Audience{Full: t.peerAddresses(v.Routing)}
-	case v.All:
+	case v.FullMesh:
 		return t.allLiveHosts(v, now)
 	case v.SelfRouting || t.self.Leaving:
 		return Audience{Full: t.peerAddresses(v.Routing), Brief: t.standbyAudience(now)}
@@ -189,7 +189,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	v := t.viewAt(now)
-	if v.All && v.Live > 1 {
+	if v.FullMesh && v.Live > 1 {
 		// Every host sends heartbeats to all others; states only help a new host to find them.
 		t.heartbeats++
 		if t.heartbeats%memberStatesPeriod != 1 {
@@ -207,7 +207,7 @@
 		}
 	}
 	routingLimit, cursors := maxStatesBetweenRouting, &t.routingCursors
-	if standby || v.All {
+	if standby || v.FullMesh {
 		routingLimit, cursors = maxRoutingStates, &t.standbyCursors
 	}
 	if standby {
@@ -219,7 +219,7 @@
 		out = t.nextStates(out, changed, maxChangedStates, &cursors.changed, now)
 	}
 	out = t.nextStates(out, routing, routingLimit-len(out), &cursors.routing, now)
-	if standby || v.All {
+	if standby || v.FullMesh {
 		return t.nextStates(out, others, maxOtherStates, &cursors.others, now)
 	}
 	// For routing hosts a standby host only has to be seen within standbyTimeout, but a change
--- a/internal/member/view.go
+++ b/internal/member/view.go
@@ -32,8 +32,8 @@
 	// only known as part of a count that a routing host reported.
 	Live    int
 	Unknown int
-	// All is set in a small fleet, where every host sends heartbeats to every other.
-	All bool
+	// FullMesh is set in a small fleet, where every host sends heartbeats to every other.
+	FullMesh bool
 	// Relays are the routing hosts that a standby host sends heartbeats to, and that report
 	// the other hosts to it.
 	Relays []*pb.Heartbeat
@@ -78,7 +78,7 @@
 	chosen := t.selectRouting(candidatesOf(live), cores)
 	t.updateRoutingSince(chosen, now)
 	liveCount := len(live) + max(unknown, excluded)
-	v := &View{SelfRouting: chosen[t.self.Host], Live: liveCount, Unknown: unknown, All: liveCount <= FewHosts, createdAt: now}
+	v := &View{SelfRouting: chosen[t.self.Host], Live: liveCount, Unknown: unknown, FullMesh: liveCount <= FewHosts, createdAt: now}
 	v.assignRoles(live, chosen, t.self)
 	if !v.SelfRouting {
 		v.Relays = t.selectRelays(v.Routing)
@@ -131,7 +131,7 @@
 		// A host that does not see itself as routing sends heartbeats only to its relays.
 		t.directSenders[b.Host] = b.Routing
 	}
-	if !v.All {
+	if !v.FullMesh {
 		return
 	}
 	for _, h := range live {
--- a/internal/node/gossip.go
+++ b/internal/node/gossip.go
@@ -139,7 +139,7 @@
 	v := n.members.View(now)
 	b.Ready = n.ready()
 	b.Leaving = n.leaving()
-	b.Routing, b.Asks = v.SelfRouting, v.All
+	b.Routing, b.Asks = v.SelfRouting, v.FullMesh
 	b.OperatorsAgeMs = ageMs(n.operatorsReadAge(now))
 	b.EntriesAgeMs = ageMs(n.servers.Age(now))
 	b.LeaseEnd = n.lease.LogEndIfHeld()
