--- a/internal/member/routing.go
+++ b/internal/member/routing.go
@@ -18,9 +18,9 @@
 	// minLargeHosts is the number of large hosts below which small hosts route too. Four can
 	// carry the callers of a site even while one of them is slow.
 	minLargeHosts = 4
-	// FewHosts is the size up to which a fleet is small: all its hosts route if too few of
+	// MaxSmallFleet is the size up to which a fleet is small: all its hosts route if too few of
 	// them are large, as so many can notify each other of every long prompt.
-	FewHosts = 24
+	MaxSmallFleet = 24
 	// smallFleetShare is the share of a small fleet's cores that its large hosts must have
 	// together to carry its whole load on their own.
 	smallFleetShare = 0.2
@@ -60,7 +60,7 @@
 // routingWithUnknown is Routing for a fleet that also has hosts outside the list, which
 // provide the given cores in each zone.
 func routingWithUnknown(hosts []Candidate, unknown map[string]float64) map[string]bool {
-	if len(hosts) <= FewHosts && len(unknown) == 0 {
+	if len(hosts) <= MaxSmallFleet && len(unknown) == 0 {
 		return routingOfSmallFleet(hosts)
 	}
 	hosts = sortedByOrder(hosts)
@@ -162,11 +162,11 @@
 
 // selectLarge selects the large hosts in addition to those reserved for zones, or the
 // largest of them if there are too many. If fewer than minLargeHosts hosts are large, it
-// selects hosts up to FewHosts in all, the largest first.
+// selects hosts up to MaxSmallFleet in all, the largest first.
 func (c *selection) selectLarge(hosts []Candidate) {
 	large, limit := largeHosts(hosts), maxRouting
 	if len(large) < minLargeHosts {
-		large, limit = hosts, FewHosts-len(c.chosen)
+		large, limit = hosts, MaxSmallFleet-len(c.chosen)
 	}
 	large = slices.DeleteFunc(slices.Clone(large), func(h Candidate) bool { return c.chosen[h.ID] })
 	for _, h := range largest(large, max(0, limit)) {
--- a/internal/member/routing_test.go
+++ b/internal/member/routing_test.go
@@ -125,7 +125,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		hosts := fleet(rapid.IntRange(1, 6).Draw(t, "zones"), rapid.IntRange(0, 4).Draw(t, "large"), rapid.IntRange(1, 60).Draw(t, "small"))
 		want := Routing(hosts)
-		if len(want) == 0 || len(hosts) > FewHosts && len(want) > maxRouting {
+		if len(want) == 0 || len(hosts) > MaxSmallFleet && len(want) > maxRouting {
 			t.Fatalf("%d of %d hosts route", len(want), len(hosts))
 		}
 		shuffled := rapid.Permutation(hosts).Draw(t, "order")
@@ -214,13 +214,13 @@
 
 // TestJoiningHostKeepsCapacity checks that a joining host of any size reduces the routing
 // capacity by no more than the smallest routing host, the granularity of the selection. It
-// skips fleets of up to FewHosts hosts, and those in which hardly any host is large: there
+// skips fleets of up to MaxSmallFleet hosts, and those in which hardly any host is large: there
 // many small hosts route until the large ones can carry the fleet, and a new zone takes some
 // of the slots.
 func TestJoiningHostKeepsCapacity(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		hosts := drawFleet(t)
-		if len(hosts) <= FewHosts {
+		if len(hosts) <= MaxSmallFleet {
 			return
 		}
 		zone := rapid.SampledFrom([]string{"z0", "z1", "z5", "new"}).Draw(t, "zone")
--- a/internal/member/view.go
+++ b/internal/member/view.go
@@ -78,7 +78,7 @@
 	chosen := t.selectRouting(candidatesOf(live), cores)
 	t.updateRoutingSince(chosen, now)
 	liveCount := len(live) + max(unknown, excluded)
-	v := &View{SelfRouting: chosen[t.self.Host], Live: liveCount, Unknown: unknown, FullMesh: liveCount <= FewHosts, createdAt: now}
+	v := &View{SelfRouting: chosen[t.self.Host], Live: liveCount, Unknown: unknown, FullMesh: liveCount <= MaxSmallFleet, createdAt: now}
 	v.assignRoles(live, chosen, t.self)
 	if !v.SelfRouting {
 		v.Relays = t.selectRelays(v.Routing)
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -79,7 +79,7 @@
 		reachable = float64(hosts)
 	case live == 1:
 		hosts = addUnseenHosts(hosts, v.Live, unseen)
-	case live > member.FewHosts:
+	case live > member.MaxSmallFleet:
 		hosts = max(hosts, isolatedDivisor*live)
 	default:
 		// Leaving hosts are no longer routing hosts but still admit requests.
