--- a/internal/member/fleet_test.go
+++ b/internal/member/fleet_test.go
@@ -102,7 +102,7 @@
 	for _, kind := range []struct {
 		standby, ask bool
 		to           []string
-	}{{false, false, to.Full}, {true, false, to.Brief}, {false, true, to.Ask}} {
+	}{{false, false, to.Routing}, {true, false, to.Standby}, {false, true, to.Ask}} {
 		if len(kind.to) == 0 {
 			continue
 		}
--- a/internal/member/spread.go
+++ b/internal/member/spread.go
@@ -47,10 +47,10 @@
 
 // Audience holds the peer addresses that a heartbeat is sent to.
 type Audience struct {
-	// Full are routing hosts, to which requests in flight and sent prompts are reported too.
-	Full []string
-	// Brief are standby hosts, to which neither is reported.
-	Brief []string
+	// Routing are routing hosts, to which requests in flight and sent prompts are reported too.
+	Routing []string
+	// Standby are standby hosts, to which neither is reported.
+	Standby []string
 	// Ask are hosts that are asked for heartbeats, which report other hosts: this host's
 	// relays, and probed addresses. Requests and prompts are not reported to them either.
 	Ask []string
@@ -69,12 +69,12 @@
 		a = t.allLiveHosts(v, now)
 	case v.FullMesh:
 	case v.SelfRouting || working || t.self.Leaving:
-		a.Full = t.peerAddresses(v.Routing)
+		a.Routing = t.peerAddresses(v.Routing)
 	case tick%fromStandbyTicks == 0 || !t.self.Ready || t.activeRelays(v, now) < max(1, len(v.Relays)):
 		a.Ask = t.peerAddresses(v.Relays)
 	}
 	if !v.FullMesh && tick%toStandbyTicks == 0 {
-		a.Brief = append(a.Brief, t.standbyAudience(now)...)
+		a.Standby = append(a.Standby, t.standbyAudience(now)...)
 	}
 	t.notifyFormerAudience(v, &a)
 	if v.SelfRouting || t.activeRelays(v, now) == 0 {
@@ -88,9 +88,9 @@
 func (t *Table) notifyFormerAudience(v *View, a *Audience) {
 	switch {
 	case v.SelfRouting && !v.FullMesh:
-		t.routingAudience, t.finalHeartbeats = a.Full, finalHeartbeatCount
+		t.routingAudience, t.finalHeartbeats = a.Routing, finalHeartbeatCount
 	case t.finalHeartbeats > 0:
-		a.Brief = append(a.Brief, t.routingAudience...)
+		a.Standby = append(a.Standby, t.routingAudience...)
 		t.finalHeartbeats--
 	}
 }
@@ -103,13 +103,13 @@
 	v := t.viewAt(now)
 	switch {
 	case !all:
-		return Audience{Full: t.peerAddresses(v.Routing)}
+		return Audience{Routing: t.peerAddresses(v.Routing)}
 	case v.FullMesh:
 		return t.allLiveHosts(v, now)
 	case v.SelfRouting || t.self.Leaving:
-		return Audience{Full: t.peerAddresses(v.Routing), Brief: t.standbyAudience(now)}
+		return Audience{Routing: t.peerAddresses(v.Routing), Standby: t.standbyAudience(now)}
 	default:
-		return Audience{Brief: t.standbyAudience(now)}
+		return Audience{Standby: t.standbyAudience(now)}
 	}
 }
 
@@ -127,10 +127,10 @@
 // leaving hosts, which have requests to finish.
 func (t *Table) allLiveHosts(v *View, now time.Time) Audience {
 	var a Audience
-	a.Full = t.peerAddresses(v.Routing)
+	a.Routing = t.peerAddresses(v.Routing)
 	for h := range t.otherHosts() {
-		if t.alive(h, now) && !slices.Contains(a.Full, h.heartbeat.PeerAddress) {
-			a.Brief = append(a.Brief, h.heartbeat.PeerAddress)
+		if t.alive(h, now) && !slices.Contains(a.Routing, h.heartbeat.PeerAddress) {
+			a.Standby = append(a.Standby, h.heartbeat.PeerAddress)
 		}
 	}
 	return a
--- a/internal/node/gossip.go
+++ b/internal/node/gossip.go
@@ -92,16 +92,16 @@
 // sendHeartbeat sends one heartbeat. atInterval is false for a requested one between intervals.
 func (n *Node) sendHeartbeat(to member.Audience, atInterval bool, now time.Time) {
 	state := n.commonHeartbeat(now)
-	if len(to.Full) > 0 {
+	if len(to.Routing) > 0 {
 		full := proto.CloneOf(state)
 		if atInterval {
 			full.Members = n.members.MemberStates(false, now)
 		}
 		n.addRoutingState(full, atInterval, now)
-		n.send(full, to.Full)
+		n.send(full, to.Routing)
 	}
-	if len(to.Brief) > 0 {
-		n.send(n.standbyHeartbeat(state, now), to.Brief)
+	if len(to.Standby) > 0 {
+		n.send(n.standbyHeartbeat(state, now), to.Standby)
 	}
 	if len(to.Ask) > 0 {
 		state.Asks = true
--- a/internal/node/refusals_test.go
+++ b/internal/node/refusals_test.go
@@ -179,16 +179,16 @@
 // sendHeartbeat is Node.sendHeartbeat without a socket.
 func (f *limitFleet) sendHeartbeat(n *Node, to member.Audience, atInterval bool, now time.Time) {
 	state := n.commonHeartbeat(now)
-	if len(to.Full) > 0 {
+	if len(to.Routing) > 0 {
 		full := proto.CloneOf(state)
 		if atInterval {
 			full.Members = n.members.MemberStates(false, now)
 		}
 		n.addRoutingState(full, atInterval, now)
-		f.send(n, full, to.Full)
+		f.send(n, full, to.Routing)
 	}
-	if len(to.Brief) > 0 {
-		f.send(n, n.standbyHeartbeat(state, now), to.Brief)
+	if len(to.Standby) > 0 {
+		f.send(n, n.standbyHeartbeat(state, now), to.Standby)
 	}
 	if len(to.Ask) > 0 {
 		state.Asks = true
