--- a/internal/member/fleet_test.go
+++ b/internal/member/fleet_test.go
@@ -303,8 +303,8 @@
 	}
 	for _, h := range s.hosts {
 		for _, other := range h.table.Hosts(s.now) {
-			if !h.down && !other.Alive && !s.byAddress[other.Beat.PeerAddress].down {
-				t.Fatalf("%s declared %s dead, which is alive", h.self.Host, other.Beat.Host)
+			if !h.down && !other.Alive && !s.byAddress[other.Heartbeat.PeerAddress].down {
+				t.Fatalf("%s declared %s dead, which is alive", h.self.Host, other.Heartbeat.Host)
 			}
 		}
 	}
--- a/internal/member/table.go
+++ b/internal/member/table.go
@@ -381,9 +381,9 @@
 
 // Host is the state of another host as seen by this one.
 type Host struct {
-	Beat  *pb.Heartbeat
-	Alive bool
-	Age   time.Duration
+	Heartbeat *pb.Heartbeat
+	Alive     bool
+	Age       time.Duration
 	// Direct is set if the host sends heartbeats to this one.
 	Direct bool
 }
@@ -396,6 +396,6 @@
 	for _, h := range t.hosts {
 		out = append(out, Host{h.heartbeat, t.alive(h, now), now.Sub(h.lastSeen), h.direct})
 	}
-	slices.SortFunc(out, func(a, b Host) int { return cmp.Compare(a.Beat.Host, b.Beat.Host) })
+	slices.SortFunc(out, func(a, b Host) int { return cmp.Compare(a.Heartbeat.Host, b.Heartbeat.Host) })
 	return out
 }
--- a/internal/node/beliefs.go
+++ b/internal/node/beliefs.go
@@ -123,9 +123,9 @@
 	}
 	for _, h := range n.members.Hosts(now) {
 		out.Hosts = append(out.Hosts, &pb.HostStatus{
-			Id: h.Beat.Host, AvailabilityZone: h.Beat.AvailabilityZone, CallerAddress: h.Beat.CallerAddress,
-			Alive: h.Alive, Ready: h.Beat.Ready, Leaving: h.Beat.Leaving, AgeMs: h.Age.Milliseconds(),
-			Routing: h.Beat.Routing, Direct: h.Direct,
+			Id: h.Heartbeat.Host, AvailabilityZone: h.Heartbeat.AvailabilityZone, CallerAddress: h.Heartbeat.CallerAddress,
+			Alive: h.Alive, Ready: h.Heartbeat.Ready, Leaving: h.Heartbeat.Leaving, AgeMs: h.Age.Milliseconds(),
+			Routing: h.Heartbeat.Routing, Direct: h.Direct,
 		})
 	}
 	out.HostsByNumber = int32(n.members.View(now).Unknown)
