--- a/internal/member/gossip.go
+++ b/internal/member/gossip.go
@@ -30,8 +30,8 @@
 	// undecodable, badAddress and unencoded rate-limit log lines about heartbeats, whose
 	// number grows with the fleet.
 	undecodable, badAddress, unencoded obs.Limiter
-	// Sent is called for each datagram that is sent. It may be nil and is set before use.
-	Sent func(to string, bytes int)
+	// OnSent is called for each datagram that is sent. It may be nil and is set before use.
+	OnSent func(to string, bytes int)
 }
 
 // NewGossip returns a Gossip on a socket, which Close closes.
@@ -103,7 +103,7 @@
 		g.log.WithError(err).WithField("address", address).Debug("heartbeat not sent")
 		return
 	}
-	if g.Sent != nil {
-		g.Sent(address, len(data))
+	if g.OnSent != nil {
+		g.OnSent(address, len(data))
 	}
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -267,7 +267,7 @@
 	n.metrics = metrics
 	n.buildEntry()
 	n.gossip = member.NewGossip(l.heartbeats, n.log)
-	n.gossip.Sent = n.countSent
+	n.gossip.OnSent = n.countSent
 	// Background work outlives ctx because the graceful stop needs it.
 	work, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	var wg sync.WaitGroup
