--- a/internal/node/loops.go
+++ b/internal/node/loops.go
@@ -56,7 +56,7 @@
 		return &topic.Follower{Store: n.store, Table: t, Access: n.access, Wait: wait, Gap: gap, Log: n.log}
 	}
 	entries := follow(n.servers, 0, n.settings.Replica.PollInterval.AsDuration())
-	entries.Fresh = n.skipsEntryRead
+	entries.SkipRead = n.skipsEntryRead
 	entries.Hold = n.delaysFirstRead
 	entries.OnRead = func() {
 		n.markReady()
@@ -64,11 +64,11 @@
 	}
 	operators := follow(n.operators, operatorReadWait, operatorReadGap)
 	operators.WaitNow = func() time.Duration { return operatorWait(n.rank()) }
-	operators.Fresh = n.skipsOperatorRead
+	operators.SkipRead = n.skipsOperatorRead
 	operators.Hold = n.delaysFirstRead
 	hasRelay := func() bool { return n.members.HasActiveRelay(clock.Now()) }
 	hosts := follow(n.hosts, 0, hostReadInterval)
-	hosts.Fresh = hasRelay
+	hosts.SkipRead = hasRelay
 	hosts.Hold = func() bool { return n.delaysFirstRead() || hasRelay() || n.awaitsRelay() }
 	return []func(context.Context){
 		operators.Run,
--- a/internal/topic/follow.go
+++ b/internal/topic/follow.go
@@ -45,9 +45,9 @@
 	// Gap is the pause between two reads. It bounds the calls that a busy topic costs, and delays
 	// records by as much.
 	Gap time.Duration
-	// Fresh, if set, reports whether the next read is unnecessary because other hosts read the
+	// SkipRead, if set, reports whether the next read is unnecessary because other hosts read the
 	// topic. A host that skips reads receives the records from those that do not.
-	Fresh func() bool
+	SkipRead func() bool
 	// Hold, if set, reports whether to delay the first read because other hosts may send the
 	// records.
 	Hold func() bool
@@ -86,7 +86,7 @@
 // skipsRead reports whether reports of other hosts make a read unnecessary. A host that has lost
 // the store still reads every lostReadInterval.
 func (f *Follower) skipsRead(lastRead time.Time) bool {
-	if f.Fresh == nil || !f.Fresh() {
+	if f.SkipRead == nil || !f.SkipRead() {
 		return false
 	}
 	return !f.Access.Lost() || clock.Since(lastRead) < lostReadInterval
--- a/internal/topic/topic_test.go
+++ b/internal/topic/topic_test.go
@@ -357,7 +357,7 @@
 	})
 }
 
-// TestReadsAreSkippedWhileOtherHostsRead checks that reads are skipped only while Fresh allows it.
+// TestReadsAreSkippedWhileOtherHostsRead checks that reads are skipped only while SkipRead allows it.
 func TestReadsAreSkippedWhileOtherHostsRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		reader := &fakeReader{written: history{put("a", 0)}}
@@ -365,7 +365,7 @@
 		var fresh atomic.Bool
 		fresh.Store(true)
 		f := &Follower{Store: reader, Table: table, Access: NewAccess(0, quietLog()), Gap: 100 * time.Millisecond, Log: quietLog()}
-		f.Fresh = fresh.Load
+		f.SkipRead = fresh.Load
 		defer start(f)()
 		time.Sleep(5 * time.Second)
 		if reader.calls() != 1 {
@@ -391,7 +391,7 @@
 		access := NewAccess(0, quietLog())
 		var fresh atomic.Bool
 		f := &Follower{Store: reader, Table: table, Access: access, Gap: 100 * time.Millisecond, Log: quietLog()}
-		f.Fresh = fresh.Load
+		f.SkipRead = fresh.Load
 		defer start(f)()
 		time.Sleep(time.Second)
 		reader.change(func() { reader.down = true })
@@ -425,7 +425,7 @@
 			startedAt := time.Now()
 			f := &Follower{Store: reader, Table: table, Access: NewAccess(0, quietLog()), Gap: 100 * time.Millisecond, Log: quietLog()}
 			f.Hold = func() bool { return time.Since(startedAt) < time.Second }
-			f.Fresh = func() bool { return reported }
+			f.SkipRead = func() bool { return reported }
 			defer start(f)()
 			time.Sleep(500 * time.Millisecond)
 			if reported {
