--- a/internal/node/loops.go
+++ b/internal/node/loops.go
@@ -57,7 +57,7 @@
 	}
 	entries := follow(n.servers, 0, n.settings.Replica.PollInterval.AsDuration())
 	entries.SkipRead = n.skipsEntryRead
-	entries.Hold = n.delaysFirstRead
+	entries.DelayFirstRead = n.delaysFirstRead
 	entries.OnRead = func() {
 		n.markReady()
 		n.requestHeartbeatToAll()
@@ -65,11 +65,11 @@
 	operators := follow(n.operators, operatorReadWait, operatorReadGap)
 	operators.WaitNow = func() time.Duration { return operatorWait(n.rank()) }
 	operators.SkipRead = n.skipsOperatorRead
-	operators.Hold = n.delaysFirstRead
+	operators.DelayFirstRead = n.delaysFirstRead
 	hasRelay := func() bool { return n.members.HasActiveRelay(clock.Now()) }
 	hosts := follow(n.hosts, 0, hostReadInterval)
 	hosts.SkipRead = hasRelay
-	hosts.Hold = func() bool { return n.delaysFirstRead() || hasRelay() || n.awaitsRelay() }
+	hosts.DelayFirstRead = func() bool { return n.delaysFirstRead() || hasRelay() || n.awaitsRelay() }
 	return []func(context.Context){
 		operators.Run,
 		entries.Run,
--- a/internal/node/moves.go
+++ b/internal/node/moves.go
@@ -76,7 +76,7 @@
 		WaitNow:  func() time.Duration { return operatorWait(n.rank()) },
 		SkipRead: n.skipsOperatorRead,
 		// A standby host gets the statuses through its relays.
-		Hold: func() bool { return n.delaysFirstRead() || n.members.HasActiveRelay(clock.Now()) },
+		DelayFirstRead: func() bool { return n.delaysFirstRead() || n.members.HasActiveRelay(clock.Now()) },
 	}
 	f.Run(ctx)
 }
--- a/internal/topic/follow.go
+++ b/internal/topic/follow.go
@@ -48,9 +48,9 @@
 	// SkipRead, if set, reports whether the next read is unnecessary because other hosts read the
 	// topic. A host that skips reads receives the records from those that do not.
 	SkipRead func() bool
-	// Hold, if set, reports whether to delay the first read because other hosts may send the
+	// DelayFirstRead, if set, reports whether to delay the first read because other hosts may send the
 	// records.
-	Hold func() bool
+	DelayFirstRead func() bool
 	// OnRead, if set, is called after each read.
 	OnRead func()
 	Log    *logrus.Logger
@@ -59,7 +59,7 @@
 // Run follows the topic until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
 	backoff := firstBackoff
-	for f.Hold != nil && f.Hold() && !f.Table.Synced() && ctx.Err() == nil {
+	for f.DelayFirstRead != nil && f.DelayFirstRead() && !f.Table.Synced() && ctx.Err() == nil {
 		clock.Sleep(ctx, skipCheckInterval)
 	}
 	synced := f.Table.Synced()
--- a/internal/topic/topic_test.go
+++ b/internal/topic/topic_test.go
@@ -424,7 +424,7 @@
 			table := NewTable("keyed.x", func(platform.Record, Origin) {})
 			startedAt := time.Now()
 			f := &Follower{Store: reader, Table: table, Access: NewAccess(0, quietLog()), Gap: 100 * time.Millisecond, Log: quietLog()}
-			f.Hold = func() bool { return time.Since(startedAt) < time.Second }
+			f.DelayFirstRead = func() bool { return time.Since(startedAt) < time.Second }
 			f.SkipRead = func() bool { return reported }
 			defer start(f)()
 			time.Sleep(500 * time.Millisecond)
