--- a/internal/node/loops.go
+++ b/internal/node/loops.go
@@ -63,7 +63,7 @@
 		n.requestHeartbeatToAll()
 	}
 	operators := follow(n.operators, operatorReadWait, operatorReadGap)
-	operators.WaitNow = func() time.Duration { return operatorWait(n.rank()) }
+	operators.NextWait = func() time.Duration { return operatorWait(n.rank()) }
 	operators.SkipRead = n.skipsOperatorRead
 	operators.DelayFirstRead = n.delaysFirstRead
 	hasRelay := func() bool { return n.members.HasActiveRelay(clock.Now()) }
--- a/internal/node/moves.go
+++ b/internal/node/moves.go
@@ -73,7 +73,7 @@
 func (n *Node) followStatuses(ctx context.Context) {
 	f := &topic.Follower{
 		Store: optionalTopic{n.store}, Table: n.releaseStatuses, Access: n.access, Wait: operatorReadWait, Gap: operatorReadGap, Log: n.log,
-		WaitNow:  func() time.Duration { return operatorWait(n.rank()) },
+		NextWait: func() time.Duration { return operatorWait(n.rank()) },
 		SkipRead: n.skipsOperatorRead,
 		// A standby host gets the statuses through its relays.
 		DelayFirstRead: func() bool { return n.delaysFirstRead() || n.members.HasActiveRelay(clock.Now()) },
--- a/internal/topic/follow.go
+++ b/internal/topic/follow.go
@@ -40,8 +40,8 @@
 	Access *Access
 	// Wait is how long a read waits at the store for a record. With 0 the follower polls.
 	Wait time.Duration
-	// WaitNow, if set, replaces Wait: it returns the wait for the next read.
-	WaitNow func() time.Duration
+	// NextWait, if set, replaces Wait: it returns the wait for the next read.
+	NextWait func() time.Duration
 	// Gap is the pause between two reads. It bounds the calls that a busy topic costs, and delays
 	// records by as much.
 	Gap time.Duration
@@ -128,8 +128,8 @@
 }
 
 func (f *Follower) readWait() time.Duration {
-	if f.WaitNow != nil {
-		return f.WaitNow()
+	if f.NextWait != nil {
+		return f.NextWait()
 	}
 	return f.Wait
 }
