--- a/internal/node/beliefs_test.go
+++ b/internal/node/beliefs_test.go
@@ -136,8 +136,8 @@
 			hosts = append(hosts, n)
 		}
 		began := time.Now()
-		hosts[0].operators.Read(began)
-		hosts[0].servers.Read(began)
+		hosts[0].operators.NoteRead(began)
+		hosts[0].servers.NoteRead(began)
 		for range rounds {
 			for _, from := range hosts {
 				b := from.fullHeartbeat()
@@ -168,8 +168,8 @@
 			n.operators.Snapshot(platform.Page{}, true)
 			n.servers.Snapshot(platform.Page{}, true)
 		}
-		reader.operators.Read(time.Now())
-		reader.servers.Read(time.Now())
+		reader.operators.NoteRead(time.Now())
+		reader.servers.NoteRead(time.Now())
 		host.receiveHeartbeat(reader.fullHeartbeat())
 		const elapsed = 300 * time.Millisecond
 		time.Sleep(elapsed)
--- a/internal/node/suspend_test.go
+++ b/internal/node/suspend_test.go
@@ -18,7 +18,7 @@
 		defer clock.Replace(func() time.Duration { return time.Since(began) + suspended })()
 		n := newIdleNode(t, "a")
 		n.registerReplica("i-1", 1)
-		n.operators.Read(clock.Now())
+		n.operators.NoteRead(clock.Now())
 		n.replicas.Want("m", 2, clock.Now())
 		const suspension = 6 * time.Second
 		suspended = suspension
--- a/internal/topic/follow.go
+++ b/internal/topic/follow.go
@@ -121,7 +121,7 @@
 	}
 	f.noteUnreadable(page)
 	f.Access.Succeeded(clock.Now())
-	f.Table.Read(clock.Now())
+	f.Table.NoteRead(clock.Now())
 	f.Table.Merge(page.Records, from+int64(len(page.Records)+page.Unreadable), f.Access.Stable(clock.Now()))
 	f.notifyRead()
 	return true, nil
@@ -171,7 +171,7 @@
 	if !f.Table.Snapshot(page, f.Access.Stable(clock.Now())) {
 		return false, errors.New("the snapshot is older than the records already applied")
 	}
-	f.Table.Read(clock.Now())
+	f.Table.NoteRead(clock.Now())
 	f.notifyRead()
 	return true, nil
 }
--- a/internal/topic/table.go
+++ b/internal/topic/table.go
@@ -76,8 +76,8 @@
 	return t.synced
 }
 
-// Read records that this host has just read the topic from the store.
-func (t *Table) Read(now time.Time) { t.lastRead.Note(now) }
+// NoteRead records that this host has just read the topic from the store.
+func (t *Table) NoteRead(now time.Time) { t.lastRead.Note(now) }
 
 // Age returns the time since this host itself last read the topic.
 func (t *Table) Age(now time.Time) time.Duration { return t.lastRead.Age(now) }
