--- a/internal/node/records.go
+++ b/internal/node/records.go
@@ -224,7 +224,7 @@
 	if data := c.get(recordRange{t.Name(), from, end}); data != nil {
 		return &pb.FetchRecordsResponse{End: end, Packed: data}, nil
 	}
-	found, end := t.From(from)
+	found, end := t.RecordsFrom(from)
 	out := &pb.FetchRecordsResponse{End: end}
 	records := make([]*pb.TopicRecord, len(found))
 	for i, r := range found {
--- a/internal/topic/table.go
+++ b/internal/topic/table.go
@@ -209,8 +209,8 @@
 	return batch
 }
 
-// From returns the newest records from an offset on and the table's end.
-func (t *Table) From(offset int64) ([]platform.Record, int64) {
+// RecordsFrom returns the newest records from an offset on and the table's end.
+func (t *Table) RecordsFrom(offset int64) ([]platform.Record, int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []platform.Record
--- a/internal/topic/topic_test.go
+++ b/internal/topic/topic_test.go
@@ -83,7 +83,7 @@
 				end := rapid.IntRange(0, len(written)).Draw(t, "its end")
 				other := NewTable("keyed.x", func(platform.Record, Origin) {})
 				other.Merge(written[:end], int64(end), true)
-				records, otherEnd := other.From(table.End())
+				records, otherEnd := other.RecordsFrom(table.End())
 				table.MergeAll(records, otherEnd, true)
 			},
 		})
