--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -125,11 +125,11 @@
 	Holds int
 	// Digest is equal for all attempts at the same request, even under different IDs.
 	Digest quarantine.Digest
-	Tries  []Try
+	Tries  []Attempt
 }
 
-// Try is the outcome of one attempt.
-type Try struct {
+// Attempt is the outcome of one attempt.
+type Attempt struct {
 	Replica string
 	Result  string
 	Reason  string
