--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -86,8 +86,8 @@
 
 // Answer writes the answer to the caller.
 type Answer interface {
-	// Whole writes a complete answer that is not streamed.
-	Whole(status int, h http.Header, body []byte) error
+	// Complete writes a complete answer that is not streamed.
+	Complete(status int, h http.Header, body []byte) error
 	// Start writes the headers of a stream; they are those of the first replica that streams.
 	Start(status int, h http.Header) error
 	// Event writes one complete event of a stream.
@@ -315,7 +315,7 @@
 func (r *run) finish(ctx context.Context, err error) error {
 	if r.errorAnswer != nil && !r.started && ctx.Err() == nil {
 		r.report.Status = r.errorAnswer.status
-		return r.out.Whole(r.errorAnswer.status, r.errorAnswer.header, r.errorAnswer.body)
+		return r.out.Complete(r.errorAnswer.status, r.errorAnswer.header, r.errorAnswer.body)
 	}
 	switch {
 	case deadlinePassed(ctx):
--- a/internal/entry/answer.go
+++ b/internal/entry/answer.go
@@ -26,8 +26,8 @@
 	}
 }
 
-// Whole implements dispatch.Answer: it writes a buffered answer.
-func (ex *exchange) Whole(status int, h http.Header, body []byte) error {
+// Complete implements dispatch.Answer: it writes a buffered answer.
+func (ex *exchange) Complete(status int, h http.Header, body []byte) error {
 	ex.copyHeaders(h)
 	ex.w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	ex.answered = true
