--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -307,7 +307,7 @@
 	}
 }
 
-func (r *run) takeRetryBudget() bool { return r.d.budget.Take(r.req.Service.Name, clock.Now()) }
+func (r *run) takeRetryBudget() bool { return r.d.budget.Allow(r.req.Service.Name, clock.Now()) }
 
 // finish ends a request whose attempts have all failed. It forwards a replica's error answer
 // if there is one, and otherwise returns an error whose kind is correct for all attempts
--- a/internal/node/loops_test.go
+++ b/internal/node/loops_test.go
@@ -100,7 +100,7 @@
 // takeRetries takes all retries that a host has left for a service, and returns their number.
 func (n *Node) takeRetries(service string) int {
 	for taken := 0; ; taken++ {
-		if !n.budget.Take(service, time.Now()) {
+		if !n.budget.Allow(service, time.Now()) {
 			return taken
 		}
 	}
--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -63,8 +63,8 @@
 	b.bucket(service, now).requests++
 }
 
-// Take reports whether a retry is within the budget, and counts it if so.
-func (b *Budget) Take(service string, now time.Time) bool {
+// Allow reports whether a retry is within the budget, and counts it if so.
+func (b *Budget) Allow(service string, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.bucket(service, now)
--- a/internal/retry/budget_test.go
+++ b/internal/retry/budget_test.go
@@ -40,7 +40,7 @@
 			"repeats": func(t *rapid.T) {
 				h := rapid.IntRange(0, hosts-1).Draw(t, "host")
 				for range rapid.IntRange(1, 20).Draw(t, "n") {
-					if budgets[h].Take("s", now) {
+					if budgets[h].Allow("s", now) {
 						retries = append(retries, now)
 					}
 				}
@@ -72,10 +72,10 @@
 func TestServicesHaveBudgetsOfTheirOwn(t *testing.T) {
 	now := time.Now()
 	b := NewBudget(0, time.Second, 1, 1, now)
-	if !b.Take("a", now) || b.Take("a", now) || !b.Take("b", now) {
+	if !b.Allow("a", now) || b.Allow("a", now) || !b.Allow("b", now) {
 		t.Error("want one retry for each service")
 	}
-	if !b.Take("a", now.Add(2*time.Second)) {
+	if !b.Allow("a", now.Add(2*time.Second)) {
 		t.Error("want another retry after the window")
 	}
 }
