--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -193,7 +193,7 @@
 	if n := len(req.Caller.Parts); n > 1 {
 		r.report.Prefix = req.Caller.Parts[n-2].ID
 	}
-	d.budget.Request(req.Service.Name, r.began)
+	d.budget.RecordRequest(req.Service.Name, r.began)
 	err := r.loop(ctx)
 	if err == nil {
 		r.fire(eventFinish)
--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -56,8 +56,8 @@
 	b.slack = slack / float64(max(1, hosts))
 }
 
-// Request counts a caller's request for a service.
-func (b *Budget) Request(service string, now time.Time) {
+// RecordRequest counts a caller's request for a service.
+func (b *Budget) RecordRequest(service string, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.bucket(service, now).requests++
--- a/internal/retry/budget_test.go
+++ b/internal/retry/budget_test.go
@@ -33,7 +33,7 @@
 			"requests": func(t *rapid.T) {
 				h := rapid.IntRange(0, hosts-1).Draw(t, "host")
 				for range rapid.IntRange(1, 30).Draw(t, "n") {
-					budgets[h].Request("s", now)
+					budgets[h].RecordRequest("s", now)
 					requests = append(requests, now)
 				}
 			},
