--- a/internal/cachesync/follower.go
+++ b/internal/cachesync/follower.go
@@ -73,8 +73,8 @@
 	Backoff func() time.Duration
 	// NoLists turns off lists: after lost events, what the index has of the holder is cleared.
 	NoLists bool
-	// Up is called after each call for events, with nil if the holder answered.
-	Up func(err error)
+	// OnResult is called after each call for events, with nil if the holder answered.
+	OnResult func(err error)
 
 	// epoch is the incarnation of the holder that next belongs to; next is the position of the
 	// first event that has not been read.
@@ -109,7 +109,7 @@
 	if ctx.Err() != nil {
 		return 0
 	}
-	f.Up(err)
+	f.OnResult(err)
 	if err != nil {
 		return retryDelay
 	}
--- a/internal/node/cache.go
+++ b/internal/node/cache.go
@@ -185,9 +185,9 @@
 		Gap: func() time.Duration {
 			return max(minCacheReadGap, time.Second*time.Duration(n.followedHolders.Load())/maxCacheReadsPerSecond)
 		},
-		Backoff: func() time.Duration { return n.replicas.Backoff(h.Name, clock.Now()) },
-		NoLists: n.off[mechanism.CacheLists],
-		Up:      func(err error) { n.recordStoreResult(h, err) },
+		Backoff:  func() time.Duration { return n.replicas.Backoff(h.Name, clock.Now()) },
+		NoLists:  n.off[mechanism.CacheLists],
+		OnResult: func(err error) { n.recordStoreResult(h, err) },
 	}
 }
 
