--- a/internal/cachesync/follower.go
+++ b/internal/cachesync/follower.go
@@ -66,8 +66,8 @@
 	Log    *logrus.Logger
 	// Budget bounds this host's bulk reads.
 	Budget *bandwidth.Budget
-	// Gap returns the pause between two calls to a holder.
-	Gap func() time.Duration
+	// PollInterval returns the pause between two calls to a holder.
+	PollInterval func() time.Duration
 	// Backoff returns for how much longer the holder has asked this host not to call it. It may
 	// be nil.
 	Backoff func() time.Duration
@@ -141,7 +141,7 @@
 	if !f.Holder.Store {
 		f.Index.RemoveUnconfirmed(f.Holder.Name, clock.Now().Add(-confirmTimeout))
 	}
-	return f.Gap()
+	return f.PollInterval()
 }
 
 // acquireBudget waits until the budget has room for a call. The returned function must be called
--- a/internal/cachesync/follower_test.go
+++ b/internal/cachesync/follower_test.go
@@ -101,7 +101,7 @@
 		defer cancel()
 		f := &Follower{
 			Engine: h, Index: index, Holder: Holder{Name: "r", Capacity: 1 << 30}, Log: log,
-			Gap: func() time.Duration { return 100 * time.Millisecond }, OnResult: func(error) {},
+			PollInterval: func() time.Duration { return 100 * time.Millisecond }, OnResult: func(error) {},
 		}
 		go f.Run(ctx)
 		if during != nil {
--- a/internal/cachesync/link_test.go
+++ b/internal/cachesync/link_test.go
@@ -123,7 +123,7 @@
 	for i := range h.fakes {
 		f := &Follower{
 			Engine: h.at(i), Index: h.index, Holder: h.holder(i), Log: log, Budget: budget,
-			Gap: func() time.Duration { return 100 * time.Millisecond }, OnResult: func(error) {},
+			PollInterval: func() time.Duration { return 100 * time.Millisecond }, OnResult: func(error) {},
 		}
 		go f.Run(ctx)
 	}
@@ -252,7 +252,7 @@
 		until := time.Now().Add(10 * time.Second)
 		f := &Follower{
 			Engine: h.at(0), Index: h.index, Holder: h.holder(0), Log: log, Budget: budget, OnResult: func(error) {},
-			Gap: func() time.Duration { return time.Second },
+			PollInterval: func() time.Duration { return time.Second },
 			Backoff: func() time.Duration {
 				if now := time.Now(); now.After(until.Add(-9*time.Second)) && now.Before(until) {
 					return until.Sub(now)
--- a/internal/node/cache.go
+++ b/internal/node/cache.go
@@ -182,7 +182,7 @@
 func (n *Node) follower(h cachesync.Holder) *cachesync.Follower {
 	return &cachesync.Follower{
 		Engine: n.engines, Index: n.index, Holder: h, Log: n.log, Budget: n.bulkReads,
-		Gap: func() time.Duration {
+		PollInterval: func() time.Duration {
 			return max(minCacheReadGap, time.Second*time.Duration(n.followedHolders.Load())/maxCacheReadsPerSecond)
 		},
 		Backoff:  func() time.Duration { return n.replicas.Backoff(h.Name, clock.Now()) },
