--- a/internal/cachesync/survey.go
+++ b/internal/cachesync/survey.go
@@ -34,8 +34,8 @@
 	Log    *logrus.Logger
 	// Budget bounds this host's bulk reads.
 	Budget *bandwidth.Budget
-	// Found is called with the large prefix blocks of each holder that has some.
-	Found func(holder string, parts prefix.Prompt)
+	// Announce is called with the large prefix blocks of each holder that has some.
+	Announce func(holder string, blocks prefix.Prompt)
 }
 
 // Run reads each holder once, some of them concurrently, and returns early if ctx ends.
@@ -89,5 +89,5 @@
 		announced.Blocks = append(announced.Blocks, block)
 		announced.Tokens = append(announced.Tokens, large[block])
 	}
-	s.Found(h.Name, announced)
+	s.Announce(h.Name, announced)
 }
--- a/internal/cachesync/survey_test.go
+++ b/internal/cachesync/survey_test.go
@@ -74,7 +74,7 @@
 		index := prefix.NewIndex()
 		var mu sync.Mutex
 		announced := map[string]prefix.Prompt{}
-		s := Survey{Engine: engines, Index: index, Log: log, Found: func(holder string, blocks prefix.Prompt) {
+		s := Survey{Engine: engines, Index: index, Log: log, Announce: func(holder string, blocks prefix.Prompt) {
 			mu.Lock()
 			defer mu.Unlock()
 			announced[holder] = blocks
