--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -91,11 +91,11 @@
 	switch {
 	case result == replica.Answered || result == replica.Failed:
 		x.d.crashes.Answered(x.report.Digest, now)
-	case result == replica.Lost && upstream.Broken(err):
+	case result == replica.Lost && upstream.IsConnectionBroken(err):
 		x.choice.Flight.ConnectionBroken(now)
 	case (result == replica.Lost || result == replica.Cancelled) && mayHaveRun:
 		x.choice.Flight.Abandoned(now)
-	case result == replica.Unreachable && upstream.Refused(err):
+	case result == replica.Unreachable && upstream.IsConnectionRefused(err):
 		x.d.replicas.ConnectionRefused(x.choice.ID, x.choice.Address, now)
 	}
 }
--- a/internal/node/crashes.go
+++ b/internal/node/crashes.go
@@ -22,7 +22,7 @@
 func (n *Node) probeBroken(ctx context.Context) {
 	for id, address := range n.replicas.TakeProbeTargets() {
 		go func() {
-			if err := n.pool.CheckReachable(ctx, address); upstream.Refused(err) {
+			if err := n.pool.CheckReachable(ctx, address); upstream.IsConnectionRefused(err) {
 				n.replicas.ConnectionRefused(id, address, clock.Now())
 				n.replicas.Reached(id, false, clock.Now())
 			}
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -65,9 +65,9 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.cause }
 
-// Broken reports whether the exchange failed because the backend server's side ended the
+// IsConnectionBroken reports whether the exchange failed because the backend server's side ended the
 // connection, and not because of a timeout, the caller or a malformed answer.
-func Broken(err error) bool {
+func IsConnectionBroken(err error) bool {
 	for _, cause := range []error{io.EOF, io.ErrUnexpectedEOF, syscall.ECONNRESET, syscall.EPIPE} {
 		if errors.Is(err, cause) {
 			return true
@@ -76,9 +76,9 @@
 	return false
 }
 
-// Refused reports whether the connection was refused: nothing listened at the backend server's
+// IsConnectionRefused reports whether the connection was refused: nothing listened at the backend server's
 // address.
-func Refused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
+func IsConnectionRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
 // Response is an answer whose body has not been read yet. Finish must be called.
 type Response struct {
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -162,7 +162,7 @@
 func (p *Pool) dial(ctx context.Context, address string) (*conn, error) {
 	raw, err := p.Dial(ctx, address)
 	if err != nil {
-		if Refused(err) {
+		if IsConnectionRefused(err) {
 			p.forgetIdleLimit(address)
 		}
 		return nil, errors.Wrap(err, "dial")
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -389,10 +389,10 @@
 		t.Fatal("a dropped connection did not shorten the idle limit")
 	}
 	p.Dial = func(context.Context, string) (net.Conn, error) { return nil, syscall.ECONNREFUSED }
-	if err := p.CheckReachable(context.Background(), "127.0.0.1:9"); !Refused(err) || p.idleLimit(time.Second, now) == time.Second {
+	if err := p.CheckReachable(context.Background(), "127.0.0.1:9"); !IsConnectionRefused(err) || p.idleLimit(time.Second, now) == time.Second {
 		t.Errorf("refusal of another server: %v, idle limit %v", err, p.idleLimit(time.Second, now))
 	}
-	if err := p.CheckReachable(context.Background(), address); !Refused(err) || p.idleLimit(time.Second, now) != time.Second {
+	if err := p.CheckReachable(context.Background(), address); !IsConnectionRefused(err) || p.idleLimit(time.Second, now) != time.Second {
 		t.Errorf("refusal of the server: %v, idle limit %v", err, p.idleLimit(time.Second, now))
 	}
 }
