--- a/internal/bandwidth/bandwidth.go
+++ b/internal/bandwidth/bandwidth.go
@@ -28,7 +28,7 @@
 )
 
 // Budget limits the bulk transfers of one host in one direction: Begin limits the number of
-// concurrent reads; Wait, Spend and Afford limit the bytes per second. A nil budget does not limit
+// concurrent reads; Wait, Spend and TrySpend limit the bytes per second. A nil budget does not limit
 // reads. It is safe for concurrent use.
 type Budget struct {
 	readSlots *semaphore.Weighted
@@ -90,9 +90,9 @@
 	}
 }
 
-// Afford reports whether the rate limit covers the bytes spent so far, and if so spends the given
+// TrySpend reports whether the rate limit covers the bytes spent so far, and if so spends the given
 // bytes too.
-func (b *Budget) Afford(bytes int) bool {
+func (b *Budget) TrySpend(bytes int) bool {
 	if !b.byteRate.AllowN(time.Now(), 1) {
 		return false
 	}
--- a/internal/node/records.go
+++ b/internal/node/records.go
@@ -199,7 +199,7 @@
 // hosts, which can ask another host instead; missing records of a running host are always sent.
 func (n *Node) maySend(in *pb.FetchRecordsRequest, bytes int) bool {
 	if in.From == 0 {
-		return n.bulkSends.Afford(bytes)
+		return n.bulkSends.TrySpend(bytes)
 	}
 	n.bulkSends.Spend(bytes)
 	return true
