--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -223,7 +223,7 @@
 	})
 	n.crashes = quarantine.NewTable(log)
 	n.replicas.OnCrash = n.replicaCrashed
-	n.engines.Answered = n.replicas.RecordNoticeAt
+	n.engines.OnAnswer = n.replicas.RecordNoticeAt
 	n.replicas.Off = off
 	n.replicas.IsKnownService = func(service string) bool {
 		c := n.config.Load()
