--- a/internal/rollout/loader_test.go
+++ b/internal/rollout/loader_test.go
@@ -163,7 +163,7 @@
 	r := f.actual[address]
 	switch {
 	case r.version == o.Version:
-		return platform.OrderHolds
+		return platform.OrderAlreadyHeld
 	case r.loading || r.sequence != o.Sequence:
 		return platform.OrderConflict
 	}
--- a/internal/rollout/order.go
+++ b/internal/rollout/order.go
@@ -194,7 +194,7 @@
 	}
 	// The replica's count of orders differs from the recorded one, or was not confirmed.
 	l.Forget(t.server.ID)
-	if result == platform.OrderHolds || result == platform.OrderConflict {
+	if result == platform.OrderAlreadyHeld || result == platform.OrderConflict {
 		return result, nil
 	}
 	return result, errOrderRefused
@@ -211,7 +211,7 @@
 // awaitLoad polls the replica until it holds the target's weights. It ends early if the order
 // was not accepted and can no longer be, so that the next plan sends another one.
 func (l *Loader) awaitLoad(ctx context.Context, t loadTarget, sequence int64, result platform.OrderResult) error {
-	accepted := result == platform.OrderAccepted || result == platform.OrderHolds
+	accepted := result == platform.OrderAccepted || result == platform.OrderAlreadyHeld
 	began := clock.Now()
 	pause := minLoadTime
 	failures := 0
