--- a/internal/rollout/order.go
+++ b/internal/rollout/order.go
@@ -174,7 +174,7 @@
 		Holder: l.holder, Fencing: l.lease.Fencing(), Sequence: sequence,
 	}
 	if !l.lease.Valid() {
-		return platform.OrderRefused, errLeaseEnded
+		return platform.OrderRejected, errLeaseEnded
 	}
 	l.OnOrder()
 	result, err := l.engine.Order(ctx, t.server.Address, o)
--- a/internal/rollout/stalled_test.go
+++ b/internal/rollout/stalled_test.go
@@ -58,7 +58,7 @@
 		time.Sleep(callTimeout)
 		return platform.OrderLost, errLost
 	case v.refusing[address]:
-		return platform.OrderRefused, nil
+		return platform.OrderRejected, nil
 	}
 	return v.fakeFleet.Order(ctx, address, o)
 }
