--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -159,13 +159,13 @@
 func (x *exchange) upstreamRequest() *upstream.Request {
 	req := x.req
 	out := platform.ReplicaRequest{
-		Replica: x.choice.ID,
-		Left:    clock.Until(req.Deadline),
-		ID:      req.ID,
-		Salt:    x.choice.Salt,
-		Source:  x.choice.Source,
-		Sink:    x.choice.Sink,
-		Weights: x.choice.Weights,
+		Replica:   x.choice.ID,
+		Remaining: clock.Until(req.Deadline),
+		ID:        req.ID,
+		Salt:      x.choice.Salt,
+		Source:    x.choice.Source,
+		Sink:      x.choice.Sink,
+		Weights:   x.choice.Weights,
 	}
 	if req.Organisation != nil {
 		out.Organisation = req.Organisation.Name
