--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -129,7 +129,7 @@
 			w.WriteHeader(http.StatusNotFound)
 			return
 		}
-		query := platform.DecodeDirectory(r)
+		query := platform.DecodeDirectoryQuery(r)
 		addresses := s.Directory(query.AvailabilityZone)
 		if len(addresses) == 0 {
 			writeError(w, errkind.New(errkind.NotReady, "no entry host is ready"))
