--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -136,7 +136,7 @@
 			return
 		}
 		w.Header().Set("Content-Type", "application/json")
-		if _, err := w.Write(platform.EncodeDirectory(addresses, s.AnswerTTL)); err != nil {
+		if _, err := w.Write(platform.EncodeDirectoryAnswer(addresses, s.AnswerTTL)); err != nil {
 			s.Log.WithError(err).Debug("a caller left before its directory answer")
 		}
 	})
