--- a/internal/bandwidth/bandwidth.go
+++ b/internal/bandwidth/bandwidth.go
@@ -28,8 +28,8 @@
 )
 
 // Budget limits the bulk transfers of one host in one direction: Begin limits the number of
-// concurrent reads; Wait, Spend and TrySpend limit the bytes per second. A nil budget does not limit
-// reads. It is safe for concurrent use.
+// concurrent reads; Wait, Spend and TrySpend limit the bytes per second. A nil budget does not
+// limit reads. It is safe for concurrent use.
 type Budget struct {
 	readSlots *semaphore.Weighted
 	byteRate  *rate.Limiter
--- a/internal/canary/rollout.go
+++ b/internal/canary/rollout.go
@@ -201,8 +201,8 @@
 
 // ServiceLoad is the state of a service's servers, as far as the lease holder knows.
 type ServiceLoad struct {
-	// TargetServers and OldServers are the numbers of ready servers with the new version and with other
-	// versions, and TargetSlots how many requests the former run concurrently.
+	// TargetServers and OldServers are the numbers of ready servers with the new version and with
+	// other versions, and TargetSlots how many requests the former run concurrently.
 	TargetServers, OldServers, TargetSlots int
 	// Running is the number of unfinished requests of all hosts, and OldRunning of those at
 	// the old version.
--- a/internal/canary/table.go
+++ b/internal/canary/table.go
@@ -156,7 +156,8 @@
 const serverShareFactor = 2
 
 // Choose returns which servers the next request of a service may go to, and counts the request
-// if that is the new version. Withdraw undoes the count; CountRequest follows once the request is sent.
+// if that is the new version. Withdraw undoes the count; CountRequest follows once the request is
+// sent.
 func (t *Table) Choose(name string, now time.Time) ServerFilter {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -42,8 +42,8 @@
 	// AnswerTTL is how long callers may use a directory answer.
 	AnswerTTL  time.Duration
 	Dispatcher *dispatch.Dispatcher
-	// Limiter enforces the organisations' rate limits. ReportUsage makes this host report at once to
-	// the other hosts what it has admitted.
+	// Limiter enforces the organisations' rate limits. ReportUsage makes this host report at once
+	// to the other hosts what it has admitted.
 	Limiter     *quota.Limiter
 	ReportUsage func()
 	Metrics     *obs.Metrics
--- a/internal/member/spread.go
+++ b/internal/member/spread.go
@@ -56,9 +56,9 @@
 	Ask []string
 }
 
-// IntervalAudience returns the audience of the heartbeat of an interval. working is set if this host has
-// requests in flight at backend servers, of which the routing hosts must be notified even if
-// it is on standby. A standby host with a relay leaves probing to it.
+// IntervalAudience returns the audience of the heartbeat of an interval. working is set if this
+// host has requests in flight at backend servers, of which the routing hosts must be notified even
+// if it is on standby. A standby host with a relay leaves probing to it.
 func (t *Table) IntervalAudience(tick int, working bool, now time.Time) Audience {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -95,8 +95,8 @@
 	}
 }
 
-// ImmediateAudience returns the audience of a heartbeat between two intervals: the routing hosts, or with
-// all set every host that this one sends heartbeats to.
+// ImmediateAudience returns the audience of a heartbeat between two intervals: the routing hosts,
+// or with all set every host that this one sends heartbeats to.
 func (t *Table) ImmediateAudience(all bool, now time.Time) Audience {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/member/view.go
+++ b/internal/member/view.go
@@ -20,8 +20,8 @@
 
 // View is an immutable snapshot of the roles of all hosts, as this host sees them.
 type View struct {
-	// Routing hosts are those that callers are sent to; this one is among them if SelfRouting is set.
-	// Serving are the ready hosts among them, or all ready hosts if none of them is.
+	// Routing hosts are those that callers are sent to; this one is among them if SelfRouting is
+	// set. Serving are the ready hosts among them, or all ready hosts if none of them is.
 	Routing     []*pb.Heartbeat
 	Serving     []*pb.Heartbeat
 	SelfRouting bool
--- a/internal/prefix/index.go
+++ b/internal/prefix/index.go
@@ -156,8 +156,8 @@
 	v.ready = now
 }
 
-// RemoveUnconfirmed removes the blocks whose prefill was expected to be complete by before, but which
-// no cache event has reported: the prefill failed, or they were evicted immediately.
+// RemoveUnconfirmed removes the blocks whose prefill was expected to be complete by before, but
+// which no cache event has reported: the prefill failed, or they were evicted immediately.
 func (x *Index) RemoveUnconfirmed(id string, before time.Time) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
--- a/internal/quota/exchange.go
+++ b/internal/quota/exchange.go
@@ -233,8 +233,8 @@
 	return false
 }
 
-// ShouldReportNow reports whether the unreported usage of an organisation is large enough to be sent before
-// the next heartbeat.
+// ShouldReportNow reports whether the unreported usage of an organisation is large enough to be
+// sent before the next heartbeat.
 func (l *Limiter) ShouldReportNow(organisation string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/quota/fleet_test.go
+++ b/internal/quota/fleet_test.go
@@ -279,7 +279,7 @@
 
 // unseenHosts returns the number of other hosts that a host counts as running although it has
 // received nothing from them since its start. Until the host has read the addresses of the others,
-// it assumes a fleet of AssumedHosts. After hostRetention, it counts no unseen hosts.
+// it assumes a fleet of AssumedHosts hosts. After hostRetention, it counts no unseen hosts.
 func (c *counts) unseenHosts(host int, now time.Time) int {
 	uptime := now.Sub(c.startedAt[host])
 	if uptime > hostRetention {
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -60,9 +60,9 @@
 	// others. Most fleets have about twenty routing hosts.
 	AssumedHosts = 16
 	// discoveryStart and discoveryEnd are times after the start of a host. Until discoveryStart it
-	// assumes AssumedHosts hosts; from then on the assumed number falls linearly and reaches zero at
-	// discoveryEnd. In simulated fleets of up to 300 hosts that start together, hosts discover all
-	// but a few percent of the others within two seconds.
+	// assumes AssumedHosts hosts; from then on the assumed number falls linearly and reaches zero
+	// at discoveryEnd. In simulated fleets of up to 300 hosts that start together, hosts discover
+	// all but a few percent of the others within two seconds.
 	discoveryStart = 300 * time.Millisecond
 	discoveryEnd   = 2 * time.Second
 	// coldStartTimeout is the time after which a starting host to which no level was reported
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -471,7 +471,8 @@
 	}
 }
 
-// BenchmarkApplyReport measures how long a heartbeat that reports forty organisations takes to apply.
+// BenchmarkApplyReport measures how long a heartbeat that reports forty organisations takes to
+// apply.
 func BenchmarkApplyReport(b *testing.B) {
 	rates := make([]float64, 1500)
 	for i := range rates {
--- a/internal/replica/crash.go
+++ b/internal/replica/crash.go
@@ -36,8 +36,8 @@
 	at       time.Time
 }
 
-// ConnectionBroken records that the connection broke before the complete answer. A probe of the server
-// then shows whether it crashed; servers close single connections too.
+// ConnectionBroken records that the connection broke before the complete answer. A probe of the
+// server then shows whether it crashed; servers close single connections too.
 func (f *Flight) ConnectionBroken(now time.Time) {
 	t, e := f.table, f.entry
 	t.mu.Lock()
@@ -114,8 +114,8 @@
 	}
 }
 
-// TakeProbeTargets returns the addresses of the servers to probe because a connection that carried a
-// request broke. Each server is returned once for such a failure.
+// TakeProbeTargets returns the addresses of the servers to probe because a connection that carried
+// a request broke. Each server is returned once for such a failure.
 func (t *Table) TakeProbeTargets() map[string]string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/replica/weights.go
+++ b/internal/replica/weights.go
@@ -143,8 +143,8 @@
 	return true
 }
 
-// RecordOlderWeights records that a server itself reports older weights than it was assumed to hold,
-// unless its record has changed since. It reports whether the record was updated.
+// RecordOlderWeights records that a server itself reports older weights than it was assumed to
+// hold, unless its record has changed since. It reports whether the record was updated.
 func (t *Table) RecordOlderWeights(id, model string, assumed, version int64) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/rollout/follow.go
+++ b/internal/rollout/follow.go
@@ -62,8 +62,8 @@
 	return l.machine.Is(StateOther) && clock.Since(l.holderLastSeen) < holderReportTTL
 }
 
-// ApplyHolderReport records a report from another host: end is the end of the lease's log if that host
-// holds the lease, or 0 if it does not.
+// ApplyHolderReport records a report from another host: end is the end of the lease's log if that
+// host holds the lease, or 0 if it does not.
 func (l *Lease) ApplyHolderReport(holder string, end int64) {
 	if end == 0 {
 		return
--- a/internal/rollout/loader.go
+++ b/internal/rollout/loader.go
@@ -33,7 +33,8 @@
 	RecordOlderWeights(id, model string, assumed, version int64) bool
 	// MarkLoading marks a server as loading, so that it gets no requests until then.
 	MarkLoading(id string, until time.Time)
-	// WaitingRequests returns how many requests of all hosts wait at a server for their first event.
+	// WaitingRequests returns how many requests of all hosts wait at a server for their first
+	// event.
 	WaitingRequests(id string, now time.Time) int
 	// Unverified returns the servers that have refused requests for the weights they were assumed
 	// to hold, and whose weights are to be verified.
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -95,8 +95,8 @@
 	Candidate
 	// Expected is the time to the first event, or to a plain service's answer.
 	Expected time.Duration
-	// QueueTime is the part of Expected that the request is queued behind others. ServiceTime is the
-	// service time of the request itself at a replica with a slowdown of 1.
+	// QueueTime is the part of Expected that the request is queued behind others. ServiceTime is
+	// the service time of the request itself at a replica with a slowdown of 1.
 	QueueTime   time.Duration
 	ServiceTime time.Duration
 	// Considered is the number of candidates that passed the filters.
--- a/internal/route/score.go
+++ b/internal/route/score.go
@@ -44,8 +44,8 @@
 	return c.slowdown()*serviceTime + millis(c.FetchTime) + p.waiting(req, c)
 }
 
-// serviceTime returns Decision.ServiceTime in milliseconds: the time to the first event, or to a plain
-// service's answer, with a slowdown of 1 and without queueing.
+// serviceTime returns Decision.ServiceTime in milliseconds: the time to the first event, or to a
+// plain service's answer, with a slowdown of 1 and without queueing.
 func (p Policy) serviceTime(req *Request, c *Candidate) float64 {
 	if c.CacheTokens == 0 {
 		return plainServiceMs
--- a/internal/topic/follow.go
+++ b/internal/topic/follow.go
@@ -48,8 +48,8 @@
 	// SkipRead, if set, reports whether the next read is unnecessary because other hosts read the
 	// topic. A host that skips reads receives the records from those that do not.
 	SkipRead func() bool
-	// DelayFirstRead, if set, reports whether to delay the first read because other hosts may send the
-	// records.
+	// DelayFirstRead, if set, reports whether to delay the first read because other hosts may send
+	// the records.
 	DelayFirstRead func() bool
 	// OnRead, if set, is called after each read.
 	OnRead func()
--- a/internal/topic/fresh.go
+++ b/internal/topic/fresh.go
@@ -23,8 +23,8 @@
 	}
 }
 
-// ApplyReport applies a report of another host: the end up to which it has applied the topic, and how
-// long ago it had applied all of it. The report is ignored if this host has applied less of the
+// ApplyReport applies a report of another host: the end up to which it has applied the topic, and
+// how long ago it had applied all of it. The report is ignored if this host has applied less of the
 // topic.
 func (f *Freshness) ApplyReport(peerEnd, end int64, age time.Duration, now time.Time) {
 	if peerEnd > end || age < 0 || age >= NeverFresh {
--- a/internal/topic/topic_test.go
+++ b/internal/topic/topic_test.go
@@ -357,7 +357,8 @@
 	})
 }
 
-// TestReadsAreSkippedWhileOtherHostsRead checks that reads are skipped only while SkipRead allows it.
+// TestReadsAreSkippedWhileOtherHostsRead checks that reads are skipped only while SkipRead allows
+// it.
 func TestReadsAreSkippedWhileOtherHostsRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		reader := &fakeReader{written: history{put("a", 0)}}
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -65,8 +65,8 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.cause }
 
-// IsConnectionBroken reports whether the exchange failed because the backend server's side ended the
-// connection, and not because of a timeout, the caller or a malformed answer.
+// IsConnectionBroken reports whether the exchange failed because the backend server's side ended
+// the connection, and not because of a timeout, the caller or a malformed answer.
 func IsConnectionBroken(err error) bool {
 	for _, cause := range []error{io.EOF, io.ErrUnexpectedEOF, syscall.ECONNRESET, syscall.EPIPE} {
 		if errors.Is(err, cause) {
@@ -76,8 +76,8 @@
 	return false
 }
 
-// IsConnectionRefused reports whether the connection was refused: nothing listened at the backend server's
-// address.
+// IsConnectionRefused reports whether the connection was refused: nothing listened at the backend
+// server's address.
 func IsConnectionRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
 // Response is an answer whose body has not been read yet. Finish must be called.
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -136,8 +136,9 @@
 	return limit
 }
 
-// CheckReachable returns an error if a backend server's address cannot be connected to. An idle connection
-// that is still open is proof enough; otherwise a new one is opened and kept for a request.
+// CheckReachable returns an error if a backend server's address cannot be connected to. An idle
+// connection that is still open is proof enough; otherwise a new one is opened and kept for a
+// request.
 func (p *Pool) CheckReachable(ctx context.Context, address string) error {
 	p.mu.Lock()
 	open := slices.ContainsFunc(p.idle[address], (*conn).reusable)
