--- a/internal/dispatch/admission.go
+++ b/internal/dispatch/admission.go
@@ -46,9 +46,9 @@
 	// of the latency target. A request beyond it would be late, would delay the requests
 	// queued behind it, and would mostly be abandoned: callers wait for four targets.
 	maxFirstEventTargets = 3
-	// maxUrgentWaitTargets limits the queue of a replica that gets less urgent requests, in
-	// multiples of the latency target of the service's most urgent route. The less urgent
-	// requests are the larger ones, and urgent requests would wait behind them.
+	// maxUrgentWaitTargets is the longest expected wait at a replica with which it is still
+	// sent less urgent requests, in multiples of the latency target of the service's most
+	// urgent route. Less urgent requests are larger, and urgent ones would wait behind them.
 	maxUrgentWaitTargets = 1.0
 	// minRetryAfter is the shortest Retry-After of a rejected request.
 	minRetryAfter = 200 * time.Millisecond
@@ -113,8 +113,8 @@
 	}
 }
 
-// unwatchQuarantine stops watching for a quarantine. It is called once the answer starts, as
-// the server is then running the request without a crash, and when the attempt ends.
+// unwatchQuarantine stops watching for a quarantine. It is called at the first event of a
+// stream, as the server is then running the request without a crash, and when the attempt ends.
 func (x *exchange) unwatchQuarantine() {
 	if x.stopQuarantineWatch != nil {
 		x.stopQuarantineWatch()
@@ -122,5 +122,5 @@
 	}
 }
 
-// unlimited stands for the absence of a limit.
+// unlimited is used where no limit applies.
 const unlimited = 24 * time.Hour
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -37,7 +37,7 @@
 	cancel context.CancelCauseFunc
 	// hangTimer checks for an unresponsive replica; nil if no other replica may be tried.
 	hangTimer *time.Timer
-	// stopQuarantineWatch stops watching for a quarantine of the request; nil once the answer
+	// stopQuarantineWatch stops watching for a quarantine of the request; nil once the stream
 	// has started.
 	stopQuarantineWatch func()
 }
--- a/internal/dispatch/poison_test.go
+++ b/internal/dispatch/poison_test.go
@@ -18,7 +18,7 @@
 }
 
 // TestPoisonRequestIsDenied: once three servers crashed while running a request, further
-// attempts at it are denied at once, and other requests are served.
+// attempts at it are rejected at once, and other requests are served.
 func TestPoisonRequestIsDenied(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fleet{ranAt: map[string]bool{}}
--- a/internal/dispatch/silence.go
+++ b/internal/dispatch/silence.go
@@ -14,10 +14,12 @@
 	// minHangTimeout is the shortest time without a liveness signal after which a replica is
 	// abandoned for another one.
 	minHangTimeout = 500 * time.Millisecond
-	// hangTimeoutTargets is this time in multiples of the route's latency target.
+	// hangTimeoutTargets is the same time in multiples of the route's latency target; the
+	// longer of the two applies.
 	hangTimeoutTargets = 1.0
 	// stallPauseTargets is the pause between two events, in multiples of the route's pause
-	// target, after which a stream is resumed at another replica. Callers give up after eight.
+	// target, after which a stream is resumed at another replica. Callers give up after a
+	// pause of eight targets.
 	stallPauseTargets = 4
 )
 
