--- a/internal/route/policy.go
+++ b/internal/route/policy.go
@@ -22,8 +22,8 @@
 	CrossZonePrice float64
 	// OutdatedWeightsPrice is the price of an answer from outdated weights, in latency
 	// targets. Such an answer loses a fifth of its value, where a late one loses two thirds;
-	// a long run loses another fifth, as its replica changes weights during the run. With a
-	// price of 0.15, a third more of all work was done on weights that had been replaced.
+	// a long-running request loses another fifth, as its replica changes weights meanwhile.
+	// With a price of 0.15, a third more of all work was done on weights that had been replaced.
 	OutdatedWeightsPrice float64
 	// OutdatedWeightsGrace is how long after newer weights were requested the outdated ones
 	// have no price.
@@ -31,9 +31,9 @@
 	// WeightsDeadline is how long after newer weights were requested a request may still
 	// begin on outdated ones.
 	WeightsDeadline time.Duration
-	// NonRepeatableFailurePrice is the price of a certain failure of a request that must not
-	// be retried, in latency targets. It loses its whole value, where a late answer loses two
-	// thirds.
+	// NonRepeatableFailurePrice is the price, in latency targets, of a failure that is certain,
+	// for a request that must not be retried. The request loses its whole value, where a late
+	// answer loses two thirds.
 	NonRepeatableFailurePrice float64
 	// RepeatableFailurePrice is the same for a request that may be retried. The loss is
 	// detected after about one latency target, and the retry mostly succeeds.
@@ -42,8 +42,8 @@
 	// the time of a large request from its first to its last event.
 	MemoryTurnover time.Duration
 	// AffinityTolerance is the score difference, in latency targets, within which affinity
-	// decides. It keeps requests with the same prefix at one replica where many hosts route
-	// and receive each other's reports of sent requests late.
+	// decides. It keeps requests with the same prefix at one replica even if many hosts route
+	// them and receive each other's reports of sent requests late.
 	AffinityTolerance float64
 }
 
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -117,7 +117,7 @@
 }
 
 // retryDelay returns the Retry-After of a request that no candidate can take: retryAfter, or
-// the shortest remaining backoff if every usable candidate has asked for one.
+// the shortest remaining backoff if every usable candidate has asked for one and it is longer.
 func retryDelay(candidates []Candidate) time.Duration {
 	first := time.Duration(0)
 	for i := range candidates {
@@ -144,8 +144,8 @@
 	return true
 }
 
-// cheapest picks the candidate with the lowest score among the suspected ones, or among the
-// others.
+// cheapest picks the best candidate that passes the filters, either only among the suspected
+// ones or only among the others.
 func (p Policy) cheapest(req *Request, candidates []Candidate, suspected bool) Decision {
 	best := Decision{}
 	bestRank := uint64(0)
--- a/internal/route/score.go
+++ b/internal/route/score.go
@@ -96,7 +96,7 @@
 	return score + memoryPrice(req, c)
 }
 
-// failurePrice returns the price of a certain failure in milliseconds.
+// failurePrice returns the price, in milliseconds, of a failure that is certain.
 func (p Policy) failurePrice(req *Request) float64 {
 	targets := p.NonRepeatableFailurePrice
 	if req.Repeatable {
