--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -41,8 +41,8 @@
 	retries  int
 }
 
-// NewBudget returns a budget that allows at most ratio retries per request in each window, plus a
-// slack of so many retries, which all hosts share.
+// NewBudget returns a budget that allows at most ratio retries per request in each window, plus
+// slack, a number of retries that all hosts share.
 func NewBudget(ratio float64, window time.Duration, slack float64, hosts int, now time.Time) *Budget {
 	b := &Budget{ratio: ratio * ratioMargin, window: window, services: map[string]*counter{}, started: now}
 	b.SetHosts(slack, hosts)
