--- a/internal/schedule/reuse.go
+++ b/internal/schedule/reuse.go
@@ -9,7 +9,7 @@
 
 const (
 	// reuseWindow is the period within which a prefix must be requested again to be worth
-	// saving. Later the replicas, and mostly the store, have evicted it.
+	// saving. After that, the replicas, and usually the store, have evicted it.
 	reuseWindow = 10 * time.Second
 	// reuseWeight is the weight of one request in the moving average of the reuse rate.
 	reuseWeight = 0.05
--- a/internal/schedule/saving.go
+++ b/internal/schedule/saving.go
@@ -9,8 +9,8 @@
 const (
 	// minSaveTokens is the minimum number of shared tokens worth saving in the store.
 	minSaveTokens = 32
-	// maxSaveWait is the maximum backlog of transfers at the store with which more is saved
-	// there, because fetches wait behind saves.
+	// maxSaveWait is the backlog of transfers at the store up to which more is saved there. It
+	// is limited because fetches wait behind saves.
 	maxSaveWait = 150 * time.Millisecond
 	// maxIdleSaveWait is the same limit for prompts that are not known to be requested again:
 	// they are saved only while the store's link is almost idle.
