--- a/internal/quarantine/save.go
+++ b/internal/quarantine/save.go
@@ -9,9 +9,9 @@
 )
 
 // minSavedCrashes is the number of crashes of a request from which they are saved in the
-// store, so that hosts which lose power together before the last crash that leads to a
-// refusal don't start counting again. Most requests that only ran beside the cause have
-// fewer.
+// store. It is below maxCrashes, so that hosts that lose power together before the request is
+// refused need not count from zero again. Most requests that only ran beside the cause have
+// fewer crashes.
 const minSavedCrashes = 2
 
 // Unsaved returns the records that this host is to write to the store or remove from it.
@@ -26,8 +26,8 @@
 	return records
 }
 
-// storeRecord returns the record of a request for the store. It is empty while the request
-// has so few crashes that each may have been caused by many others.
+// storeRecord returns the record of a request for the store. It holds no crashes while there
+// are fewer than minSavedCrashes, as any of many requests may have caused each of them.
 func (t *Table) storeRecord(d Digest) platform.QuarantineRecord {
 	q := platform.QuarantineRecord{Digest: uint64(d)}
 	r := t.records[d]
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -9,12 +9,13 @@
 )
 
 const (
-	// maxCrashes is the number of crashes from which a request is refused. Requests that
-	// were running beside the cause are counted with it the first time, rarely the second.
+	// maxCrashes is the number of crashes from which a request is refused. The first crash
+	// also counts against the requests that were running beside the cause, but these rarely
+	// run beside it a second time.
 	maxCrashes = 3
 	// refusalDuration is how long a request is refused after its last crash. After that, a
-	// single further crash is enough: a request whose fault has been fixed is served again,
-	// and any other costs one server in ten minutes.
+	// single further crash is enough to refuse it again: a request whose fault has been fixed
+	// is served again, and any other costs one server in ten minutes.
 	refusalDuration = 10 * time.Minute
 	// crashRetention is how long a crash is remembered.
 	crashRetention = time.Hour
@@ -40,7 +41,7 @@
 	// answered is when a server last answered the request completely, or zero: earlier
 	// crashes were caused by another request.
 	answered time.Time
-	// refusing is set while the log says that the request is refused.
+	// refusing is set if the last log line about the request says that it is refused.
 	refusing bool
 }
 
