--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -32,7 +32,7 @@
 const (
 	testHost = "museum.example"
 	testKey  = "key-a"
-	// dialTimeout bounds connection attempts. It may be long, as an attempt ends once it is connected.
+	// dialTimeout limits connection attempts. It may be long, as an attempt ends once it is connected.
 	dialTimeout = 20 * time.Second
 )
 
--- a/internal/entry/request.go
+++ b/internal/entry/request.go
@@ -83,7 +83,7 @@
 }
 
 // staleViewAge is the age above which the view may not yet have a route or key that is in
-// force. A caller that uses an unknown one is then told to retry, not that it does not exist.
+// force. A caller that uses an unknown one is then asked to retry instead of getting a 404 or 401.
 const staleViewAge = 1500 * time.Millisecond
 
 // resolve finds the route and, unless the route is public, the organisation of the API key.
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -68,7 +68,7 @@
 func (s *Server) Open() int64 { return s.open.Load() }
 
 // Handler returns the handler for callers' requests. It is not a mux, which would redirect
-// paths that are not clean: every path is used as it came.
+// paths that are not clean: every path is used as received.
 func (s *Server) Handler() http.Handler {
 	return alice.New(s.countOpen, s.closeWhenStopping, s.recoverPanic).ThenFunc(s.serve)
 }
