--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -25,9 +25,9 @@
 	dialTimeout = 400 * time.Millisecond
 	// readBufferSize is enough for a small answer.
 	readBufferSize = 4 << 10
-	// maxStrayAnswers bounds the late answers to earlier requests that are skipped.
+	// maxStrayAnswers limits the late answers to earlier requests that are skipped.
 	maxStrayAnswers = 2
-	// maxStrayBodyBytes bounds the body of such an answer.
+	// maxStrayBodyBytes limits the body of such an answer.
 	maxStrayBodyBytes = 1 << 20
 )
 
@@ -90,8 +90,8 @@
 	conn  *conn
 	pool  *Pool
 	close bool
-	// stop cancels the closing of the connection at the context's end; it returns false once
-	// the context has ended.
+	// stop keeps the end of the context from closing the connection; it returns false if the
+	// context has already ended.
 	stop func() bool
 	raw  *http.Response
 }
@@ -104,14 +104,14 @@
 	// writeDone receives the result of writing the current request once it has ended.
 	writeDone chan error
 	idleSince time.Time
-	// idleFor is how long it was idle before its current request.
+	// idleFor is how long the connection was idle before its current request.
 	idleFor time.Duration
-	// maxIdle is how long it may be idle before it is closed.
+	// maxIdle is how long the connection may be idle before it is closed.
 	maxIdle time.Duration
 }
 
-// exchange sends a request and reads the head of its answer. The connection is closed when it
-// fails or ctx ends.
+// exchange sends a request and reads the head of its answer. The connection is closed if
+// the exchange fails or ctx ends.
 func (c *conn) exchange(ctx context.Context, req *Request) (*Response, error) {
 	stop := context.AfterFunc(ctx, func() { c.Conn.Close() })
 	fail := func(sent bool, err error) (*Response, error) {
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -31,9 +31,9 @@
 	// after some hundred milliseconds.
 	minLearnedIdle = 100 * time.Millisecond
 	// maxResetDelay is the maximum time from sending a request on a dropped connection to its
-	// reset: a few round trips. A later reset means that the server has ended.
+	// reset: a few round trips. A later reset means that the server process has ended.
 	maxResetDelay = 30 * time.Millisecond
-	// maxIdlePerServer bounds the idle connections to one backend server. Servers reset
+	// maxIdlePerServer limits the idle connections to one backend server. Servers reset
 	// connections beyond the number that they accept from all hosts together, which is about
 	// a hundred for some.
 	maxIdlePerServer = 8
