--- a/internal/cachesync/follower.go
+++ b/internal/cachesync/follower.go
@@ -22,8 +22,8 @@
 	// backlogThreshold is the number of events in one answer at which more are assumed to be
 	// waiting, so that the next call follows at once. A busy replica produces some fifty events
 	// a second, and an answer holds up to five hundred. A host that starts thus reads a
-	// replica's backlog in some twenty milliseconds instead of half a second, during which it
-	// would send prompts to replicas that have to recompute their prefill.
+	// replica's backlog in some twenty milliseconds instead of half a second. Until then it
+	// sends prompts to replicas that have to recompute prefix blocks which others hold.
 	backlogThreshold = 200
 	// retryDelay is the pause after a failed call.
 	retryDelay = 400 * time.Millisecond
@@ -64,14 +64,14 @@
 	Index  *prefix.Index
 	Holder Holder
 	Log    *logrus.Logger
-	// Budget bounds this host's bulk reads.
+	// Budget limits this host's bulk reads.
 	Budget *bandwidth.Budget
 	// PollInterval returns the pause between two calls to a holder.
 	PollInterval func() time.Duration
 	// Backoff returns for how much longer the holder has asked this host not to call it. It may
 	// be nil.
 	Backoff func() time.Duration
-	// NoLists turns off lists: after lost events, what the index has of the holder is cleared.
+	// NoLists turns off lists: after lost events, the index's records of the holder are cleared.
 	NoLists bool
 	// OnResult is called after each call for events, with nil if the holder answered.
 	OnResult func(err error)
@@ -162,7 +162,7 @@
 	return f.Backoff()
 }
 
-// listHeld replaces what the index has of the holder by a full list. It returns false if the last
+// listHeld replaces the index's records of the holder by a full list. It returns false if the last
 // list was too recent or the call failed. It returns true after a list, from which the next poll
 // continues, and also if the holder asked for a backoff, after which the next poll tries again.
 func (f *Follower) listHeld(ctx context.Context) bool {
@@ -191,7 +191,7 @@
 	return true
 }
 
-// record records in the index what the holder holds of a prefix block.
+// record records in the index how much of a prefix block the holder holds.
 func (f *Follower) record(held platform.HeldBlock) {
 	f.Index.Stored(f.Holder.Name, prefix.HashOf(held.Salt, held.Part), held.Tokens, f.Holder.Capacity, clock.Now())
 }
--- a/internal/cachesync/link_test.go
+++ b/internal/cachesync/link_test.go
@@ -167,8 +167,8 @@
 	synctest.Wait()
 }
 
-// TestBacklogsLeaveRoomOnTheLink: a small host that begins to route read the event backlogs of 45
-// replicas at the same time. For five seconds its connections to the store, to other hosts and to
+// TestBacklogsLeaveRoomOnTheLink: while it began to route, a small host read the event backlogs of
+// 45 replicas at the same time. For five seconds its connections to the store, to other hosts and to
 // servers timed out, and it received a configuration 3.4 s late. A large host must not be slowed
 // down where its link has the capacity.
 func TestBacklogsLeaveRoomOnTheLink(t *testing.T) {
--- a/internal/cachesync/survey.go
+++ b/internal/cachesync/survey.go
@@ -20,7 +20,7 @@
 	surveyPollTimeout = 200 * time.Millisecond
 	// surveyInterval is the minimum time between the starts of two calls.
 	surveyInterval = 15 * time.Millisecond
-	// maxSurveyCalls bounds the concurrent calls.
+	// maxSurveyCalls limits the concurrent calls.
 	maxSurveyCalls = 24
 	// minAnnouncedTokens is the minimum size of a prefix block that is announced to other hosts.
 	minAnnouncedTokens = 512
@@ -32,7 +32,7 @@
 	Engine Engine
 	Index  *prefix.Index
 	Log    *logrus.Logger
-	// Budget bounds this host's bulk reads.
+	// Budget limits this host's bulk reads.
 	Budget *bandwidth.Budget
 	// Announce is called with the large prefix blocks of each holder that has some.
 	Announce func(holder string, blocks prefix.Prompt)
--- a/internal/cachesync/survey_test.go
+++ b/internal/cachesync/survey_test.go
@@ -58,7 +58,7 @@
 	return platform.CacheList{}, nil
 }
 
-// TestSurveyReadsEachHolderOnce: each holder is read once, at a bounded rate even if some do not
+// TestSurveyReadsEachHolderOnce: each holder is read once, at a limited rate even if some do not
 // answer, and only the large prefix blocks are announced.
 func TestSurveyReadsEachHolderOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
