--- a/internal/bandwidth/bandwidth.go
+++ b/internal/bandwidth/bandwidth.go
@@ -16,12 +16,12 @@
 const (
 	// bulkShare is the share of the link, in each direction, for bulk transfers.
 	bulkShare = 1.0 / 3
-	// maxQueueDelay bounds the bulk reads in flight, as the time that the link takes to carry
-	// them: other traffic may have to wait that long behind them.
+	// maxQueueDelay limits the bulk reads in flight, given as the time that the link takes to
+	// carry them: other traffic may have to wait that long behind them.
 	maxQueueDelay = 50 * time.Millisecond
 	// typicalReadBytes is the typical size of a bulk read.
 	typicalReadBytes = 32 << 10
-	// unansweredTimeout is how long a read without an answer keeps another one from starting: a
+	// unansweredTimeout is how long a read without an answer occupies its slot: a
 	// sender that has nothing to send holds the call open.
 	unansweredTimeout = 100 * time.Millisecond
 	bitsPerByte       = 8
