--- a/internal/netdial/netdial.go
+++ b/internal/netdial/netdial.go
@@ -1,5 +1,5 @@
 // Package netdial provides dialers for long-lived connections. An open connection may become
-// unresponsive for good, without a reset, while new ones work. Without keep-alive probes, a read
+// permanently unresponsive, without a reset, while new ones work. Without keep-alive probes, a read
 // on it would wait for its own timeout, up to half a minute.
 package netdial
 
