--- a/internal/replica/active_test.go
+++ b/internal/replica/active_test.go
@@ -36,7 +36,7 @@
 
 // TestIdleServersAreNotVisited checks that a host only looks at the servers in use, and at
 // others while there is something to report about them. An idle host with 10,000 servers
-// spent 6 % of a processor on looking at each of them some forty times a second.
+// spent 6 % of a CPU core on looking at each of them some forty times a second.
 func TestIdleServersAreNotVisited(t *testing.T) {
 	for _, n := range []int{400, 1600} {
 		table, now := manyServers(n), time.Unix(1000, 0)
--- a/internal/replica/crash.go
+++ b/internal/replica/crash.go
@@ -9,9 +9,8 @@
 )
 
 const (
-	// crashWindow is the time after a broken connection within which the end of its server
-	// counts as the crash that broke it. Entries of crashed servers are removed within this
-	// time.
+	// crashWindow is how long after a connection broke the end of its server still counts as
+	// the crash that broke it. Entries of crashed servers are removed within this time.
 	crashWindow = 5 * time.Second
 	// abandonedCrashWindow is the same for an attempt that this host gave up before the
 	// complete answer, or whose caller left: the server keeps running it for a while.
@@ -25,7 +24,8 @@
 // answer.
 type brokenRequest struct {
 	digest quarantine.Digest
-	// expires is the time from which a crash of the server is not attributed to the request.
+	// at is when the exchange ended; from expires on, a crash of the server is no longer
+	// attributed to the request.
 	at, expires time.Time
 }
 
@@ -89,8 +89,8 @@
 	t.pendingCrashes = append(t.pendingCrashes, c)
 }
 
-// clearBroken records an answer to a request that was sent at the given time: connections
-// that broke before then were not broken by a crash.
+// clearBroken forgets the connections that broke before the given time, at which a request
+// was sent that the server has since answered: no crash broke them.
 func (e *entry) clearBroken(sent time.Time) {
 	kept := e.brokenRequests[:0]
 	for _, b := range e.brokenRequests {
--- a/internal/replica/crash_test.go
+++ b/internal/replica/crash_test.go
@@ -34,8 +34,9 @@
 
 const crashAddress = "10.0.0.1:1"
 
-// TestCrashIsAttributedToRunningRequests checks that each request that broke with the server
-// counts that crash, also if its end is seen a little after the server's.
+// TestCrashIsAttributedToRunningRequests checks that a crash is attributed to each request
+// that broke with the server, even if the connection is seen to break shortly after the
+// server ended.
 func TestCrashIsAttributedToRunningRequests(t *testing.T) {
 	w, now := newCrashFixture(), time.Now()
 	late := w.Begin("a", Work{Digest: 3}, now)
--- a/internal/replica/failures.go
+++ b/internal/replica/failures.go
@@ -7,8 +7,9 @@
 )
 
 const (
-	// failureWindow is half of the time over which answers count: a fault that lasts a few
-	// seconds shows within its first second and stops counting a few seconds after its end.
+	// failureWindow is half of the maximum time for which answers count: a fault that lasts a
+	// few seconds shows within its first second and stops counting a few seconds after its
+	// end.
 	failureWindow = 2 * time.Second
 	// priorAnswers is the number of successful answers credited to every server, so that one
 	// failure among few requests has little weight.
@@ -60,13 +61,13 @@
 }
 
 // overdueThreshold is how far an answer must exceed its expected time to be presumed lost
-// when a later request to the same server is answered. Requests overtake each other by
-// urgency and size, mostly by less than half a second.
+// when a later request to the same server is answered. Servers may answer requests out of
+// order, by urgency and size, mostly by less than half a second.
 const overdueThreshold = 700 * time.Millisecond
 
-// detectLostAnswers presumes the answers lost that are long overdue when a later request to
-// the same server is answered. Otherwise such a request would only end when its caller
-// leaves, which says nothing about the server.
+// detectLostAnswers is called when a request is answered. It presumes lost the answers to
+// earlier requests to the same server that are long overdue. Otherwise such a request would
+// only end when its caller leaves, which says nothing about the server.
 func (t *Table) detectLostAnswers(answered *Flight, now time.Time) {
 	if t.Off[mechanism.LostAnswers] {
 		return
--- a/internal/replica/flight.go
+++ b/internal/replica/flight.go
@@ -89,8 +89,8 @@
 	return f.ratio
 }
 
-// minPendingShare is the share of a prompt that counts as pending prefill until the first
-// event, which may come later than expected.
+// minPendingShare is the minimum share of a prompt that counts as pending prefill until the
+// first event, which may come later than expected.
 const minPendingShare = 0.1
 
 // pendingPrefill estimates the tokens still to be prefilled: the prefill starts after the
@@ -142,7 +142,7 @@
 	return f.entry.unresponsiveFor(now)
 }
 
-// markSeen records a liveness signal, which restarts the silence of every request.
+// markSeen records a liveness signal: unresponsiveFor then counts from it.
 func (e *entry) markSeen(now time.Time) { e.lastSeen = now }
 
 // unresponsiveFor returns how long the oldest unanswered request has waited beyond its
--- a/internal/replica/health.go
+++ b/internal/replica/health.go
@@ -50,8 +50,8 @@
 	// the maximum lets a restarted server be found again.
 	minDownTime = 300 * time.Millisecond
 	maxDownTime = 3 * time.Second
-	// unresponsiveThreshold is the silence, beyond the expected time of the oldest request,
-	// from which a server counts as unresponsive and gets no more requests.
+	// unresponsiveThreshold is the result of unresponsiveFor above which a server counts as
+	// unresponsive and gets no more requests.
 	unresponsiveThreshold = 600 * time.Millisecond
 	// suspicionTimeout is how long another host's report that a server is down counts; it is
 	// renewed with each heartbeat of that host.
@@ -60,9 +60,9 @@
 	// report.
 	recentlySeenThreshold = 300 * time.Millisecond
 	// reportAfterReached is how long a server that was down is still reported to other hosts
-	// once a connection to it could be opened. The server may still be unresponsive. But
-	// among many servers, the one request that would clear it here may not come for a long
-	// time, and meanwhile all other hosts would leave it idle because of one host's report.
+	// after a connection to it could be opened, since it may still be unresponsive. The
+	// report does not last until a request succeeds there: among many servers, this host may
+	// send it none for a long time, and all other hosts would leave it idle meanwhile.
 	reportAfterReached = time.Second
 	// maxSlow limits how slow a single answer can make a server look.
 	maxSlow = 12.0
@@ -104,7 +104,8 @@
 	return false, true
 }
 
-// onlySuspected reports whether only another host's report speaks against the server.
+// onlySuspected reports whether the server counts as down only because of another host's
+// report.
 func (h *health) onlySuspected(now time.Time) bool {
 	return h.downTime == 0 && now.Before(h.suspectedUntil)
 }
@@ -123,8 +124,8 @@
 }
 
 // slow returns by which factor answers take longer than expected. Without new answers it
-// decays to 1: a server that is avoided because it was slow could not show that it has
-// recovered.
+// decays to 1: otherwise a server that is avoided because it was slow could never show that
+// it has recovered.
 func (h *health) slow(now time.Time) float64 {
 	if h.excess == 0 {
 		return 1
@@ -145,7 +146,7 @@
 // connectTimeout records a connection attempt that timed out. A single timeout may be due to
 // this host being slow or to a lost packet. The server is then avoided but remains usable as
 // a last resort, since otherwise all requests to a service with a single server would be
-// refused. Attempts that were already running at that time are not counted again. A timeout
+// refused. Timeouts of attempts that were already running at that time are ignored. A timeout
 // of a later attempt, or one to a server that is already marked down, makes the server
 // unreachable, so that a server that never answers costs its callers at most two timeouts.
 func (h *health) connectTimeout(began, now time.Time) {
--- a/internal/replica/loads.go
+++ b/internal/replica/loads.go
@@ -7,8 +7,9 @@
 	pb "github.com/briarlink/briarlink/api/briarlink/v1"
 )
 
-// loadTimeout is how long a host's report of its load at a server counts. With few servers
-// in use it is repeated every minResendRounds heartbeats, about 0.6 s: three may be lost.
+// loadTimeout is how long a host's report of its load at a server counts. With few servers in
+// use it is repeated every minResendRounds heartbeats, about 0.6 s: three reports in a row
+// may be lost.
 const loadTimeout = 2500 * time.Millisecond
 
 // hostLoads holds the load of other hosts at backend servers, and its sum for each server: a
@@ -163,8 +164,8 @@
 	return false
 }
 
-// load is the sum of the unfinished requests at a server. It is a plain struct, as each
-// routing decision computes one for each server.
+// load is the load of the unfinished requests at a server. It is a plain struct instead of a
+// pb.ReplicaLoad, as each routing decision computes one for each server.
 type load struct {
 	requests, prefill, memory, waiting int32
 }
--- a/internal/replica/notice.go
+++ b/internal/replica/notice.go
@@ -36,8 +36,8 @@
 	}
 }
 
-// applyNotice applies a server's notice that it leaves, and its requested backoff. The
-// notice takes effect without the server's entry, since the store may be unavailable or
+// applyNotice applies a server's notice that it leaves, and its requested backoff. The notice
+// takes effect before the server's entry says the same, since the store may be unavailable or
 // slow.
 func (t *Table) applyNotice(e *entry, a platform.ReplicaAnswer, now time.Time) {
 	if a.Instance != "" && a.Instance != e.reg.ID {
@@ -57,11 +57,11 @@
 	}
 }
 
-// backoff returns the rest of the backoff that a server requested from this host. It is
-// counted from the arrival of the answer, and so ends slightly late.
+// backoff returns the remaining backoff that a server requested from this host. It is counted
+// from the arrival of the answer, and so ends slightly late.
 func (e *entry) backoff(now time.Time) time.Duration { return max(0, e.backoffUntil.Sub(now)) }
 
-// Backoff returns the rest of the backoff that a server requested from this host.
+// Backoff returns the remaining backoff that a server requested from this host.
 func (t *Table) Backoff(id string, now time.Time) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/replica/pace.go
+++ b/internal/replica/pace.go
@@ -20,8 +20,8 @@
 	// maxSlowdown and minSlowdown are the limits of a slowdown.
 	maxSlowdown = 8.0
 	minSlowdown = 0.2
-	// slowdownsPerHeartbeat is the number of servers, in turn, whose slowdown one heartbeat
-	// reports, at about 25 bytes each.
+	// slowdownsPerHeartbeat is the number of servers whose slowdown one heartbeat reports, at
+	// about 25 bytes each; the next heartbeat continues with the next servers.
 	slowdownsPerHeartbeat = 6
 )
 
@@ -44,7 +44,7 @@
 	}
 }
 
-// median returns the median, the lower one of two.
+// median returns the median, or the lower of the two middle values.
 func (a sampleWindow) median() slowdown {
 	if len(a) == 0 {
 		return slowdown{}
@@ -63,8 +63,8 @@
 	p.ratio += (other.ratio - p.ratio) * other.samples / p.samples
 }
 
-// recordSlowdown records the slowdown that an answer shows, and reports whether it shows
-// one.
+// recordSlowdown adds the slowdown of an answer to the samples. It reports whether the answer
+// counts as a sample.
 func (e *entry) recordSlowdown(f *Flight, actual time.Duration) bool {
 	own := f.work.ServiceTime
 	if own <= 0 || f.work.Engine && own < minEngineTime {
--- a/internal/replica/pace_test.go
+++ b/internal/replica/pace_test.go
@@ -63,9 +63,9 @@
 	}
 }
 
-// TestQueueingDoesNotCountAsSlowdown checks that answers do not count whose time was mostly
-// spent queued behind other requests, or is too short. A server without samples is assumed
-// to have the slowdown of the others.
+// TestQueueingDoesNotCountAsSlowdown checks that an answer does not count if its time was
+// mostly spent queued behind other requests, or is too short. A server without samples is
+// assumed to have the slowdown of the others.
 func TestQueueingDoesNotCountAsSlowdown(t *testing.T) {
 	table, now := newTestTable("a", "b"), time.Now()
 	recordAnswer(t, table, "a", 200*time.Millisecond, 700*time.Millisecond, 3*time.Second, now)
--- a/internal/replica/services.go
+++ b/internal/replica/services.go
@@ -4,9 +4,8 @@
 
 const (
 	// maxCandidates is the number of servers of one service above which a routing decision
-	// considers only some of them. With 3,000 servers, considering all takes 3.3 ms of
-	// processor time, and considering this many 0.23 ms (BenchmarkPickAmongMany, busy
-	// machine).
+	// considers only some of them. With 3,000 servers, considering all takes 3.3 ms of CPU
+	// time, and considering this many 0.23 ms (BenchmarkPickAmongMany on a busy machine).
 	maxCandidates = 160
 )
 
@@ -32,9 +31,9 @@
 	}
 }
 
-// candidates returns the servers that a routing decision considers: all of a service, or as
-// many as maxCandidates from the key's position in their order. Requests with the same key
-// get the same servers.
+// candidates returns the servers that a routing decision considers: all servers of a service,
+// or if there are more, maxCandidates consecutive ones from a position that depends on the
+// key. Requests with the same key get the same servers.
 func (s services) candidates(service string, key uint64) []string {
 	all := s[service]
 	if len(all) <= maxCandidates {
--- a/internal/replica/table.go
+++ b/internal/replica/table.go
@@ -74,7 +74,7 @@
 	// active holds the entries with current or recent requests of this host and those that
 	// need attention: of many servers, a host uses only a few at a time. lapsed holds the
 	// entries that lapsed during a store outage, withSlowdown those with a known slowdown.
-	// An entry may have left these states since it was added.
+	// Entries are removed from these sets later than they leave the state.
 	active, lapsed, withSlowdown map[string]*entry
 	// machine computes the transitions of all entries, one at a time: with thousands of
 	// entries, a machine for each would take half of an entry's memory.
@@ -130,8 +130,8 @@
 	// leaveNoticeReceived is set once an answer said that the server leaves.
 	leaveNoticeReceived bool
 	// brokenRequests are the requests whose exchanges recently broke off. needsProbe is set
-	// while the server is to be probed because of that. connectionRefusedAt is when nothing
-	// listened at its address, or zero.
+	// while the server is to be probed because of that. connectionRefusedAt is when its
+	// address last refused a connection, or zero.
 	brokenRequests      []brokenRequest
 	needsProbe          bool
 	connectionRefusedAt time.Time
@@ -313,7 +313,7 @@
 	return route.Replica{
 		ID: id, Address: e.reg.Address, AvailabilityZone: e.reg.AvailabilityZone, Software: e.reg.Software,
 		Backoff: e.backoff(now), Usable: serving && !e.health.unreachable, Doubted: down || unresponsiveFor >= unresponsiveThreshold, Trial: trial, Loading: now.Before(e.loadingUntil),
-		Weights: e.weights[model], Behind: t.behind(e.reg.Service, model, e.weights[model], now), Slots: e.reg.Slots,
+		Weights: e.weights[model], Behind: t.outdatedFor(e.reg.Service, model, e.weights[model], now), Slots: e.reg.Slots,
 		Requests: int(l.requests), PrefillTokens: int(l.prefill),
 		MemoryTokens: int(l.memory), CacheTokens: cacheTokens,
 		Slow: e.health.slow(now), Pace: t.slowdownOf(e), Errors: t.recentOutcomes(e, now).share(), Silence: unresponsiveFor,
--- a/internal/replica/table_test.go
+++ b/internal/replica/table_test.go
@@ -36,7 +36,7 @@
 }
 
 // TestSupersededWeightsCountFromTheFirstNewerVersion checks that a replica on version 1
-// counts as behind since version 2 was named, however soon version 3 followed.
+// counts as outdated since version 2 was named, however soon version 3 followed.
 func TestSupersededWeightsCountFromTheFirstNewerVersion(t *testing.T) {
 	table := newTestTable("a")
 	start := time.Now()
@@ -175,8 +175,8 @@
 	}
 }
 
-// TestRecentAnswerOutweighsSuspicion checks that a host cut off from a server does not make
-// other hosts avoid a server that answers them.
+// TestRecentAnswerOutweighsSuspicion checks that a host that cannot reach a server does not
+// make other hosts avoid it while it answers them.
 func TestRecentAnswerOutweighsSuspicion(t *testing.T) {
 	table := newTestTable("a", "b")
 	now := time.Now()
--- a/internal/replica/told.go
+++ b/internal/replica/told.go
@@ -7,13 +7,13 @@
 )
 
 const (
-	// minResendRounds is the minimum number of rounds over which the loads of all servers
-	// are resent, changed or not. Lost datagrams are made up for within these rounds.
+	// minResendRounds is the minimum number of rounds over which the loads of all servers are
+	// resent, changed or not. The loss of a datagram is thus repaired within these rounds.
 	minResendRounds = 4
 	// resendsPerRound is the number of servers whose load is resent in a round, at about 20
 	// bytes each. With more servers in use there are more rounds, but at most
-	// maxResendRounds, since other hosts keep a load for 16 heartbeats (loadTimeout).
-	// Changes are reported at once all the same.
+	// maxResendRounds, since other hosts keep a load for 16 heartbeats (loadTimeout). Changes
+	// are reported at once in any case.
 	resendsPerRound = 100
 	maxResendRounds = 14
 	// minTokenChange is the change of pending prefill or memory tokens that is reported at
@@ -29,8 +29,8 @@
 	round uint64
 }
 
-// Changes returns the loads to report: those that differ from what was last reported and, in
-// a round, also a part of the unchanged ones.
+// Changes returns the loads to report: those that differ from what was last reported and, if
+// round is set, also a part of the unchanged ones.
 func (t *LoadReporter) Changes(loads []*pb.ReplicaLoad, round bool) []*pb.ReplicaLoad {
 	if t.last == nil {
 		t.last = map[string]*pb.ReplicaLoad{}
--- a/internal/replica/weights.go
+++ b/internal/replica/weights.go
@@ -22,11 +22,11 @@
 	exactSince bool
 }
 
-// merge combines the records that two hosts have of a version. The earlier time wins: no
-// host learns of a version before it is named, and the delay of a report only makes the
-// version look younger than reported. A lower bound, before which it cannot have been
-// named, is not kept: each report would shift it by its delay, and hosts that report to each
-// other again and again would lose all of the age.
+// merge combines the records that two hosts have of a version. The earlier time wins: no host
+// learns of a version before it is named, and the delay of a report only makes the version
+// look younger than reported. A lower limit of the naming time is not kept: each report would
+// move it later by its delay, and hosts that keep reporting to each other would lose all of
+// the age.
 func (w wantedVersion) merge(other wantedVersion) wantedVersion {
 	if other.since.Before(w.since) {
 		w.since = other.since
@@ -35,8 +35,8 @@
 	return w
 }
 
-// maxWanted limits the versions remembered for each model. A replica that is further behind
-// counts as behind since the oldest of them.
+// maxWanted limits the versions remembered for each model. A replica with even older weights
+// counts as outdated since the oldest of them.
 const maxWanted = 64
 
 // Want records the weights version that operators have just named for a model. Versions
@@ -93,27 +93,27 @@
 // any writer may add, say nothing about these servers.
 type serviceModel struct{ service, model string }
 
-// assumedBehind is the result of behind for a server that must not be used although it is
+// assumedOutdatedFor is the result of outdatedFor for a server that must not be used although it is
 // unknown for how long its weights have been outdated.
-const assumedBehind = 24 * time.Hour
+const assumedOutdatedFor = 24 * time.Hour
 
-// behind returns how long a version newer than the given one has been wanted. It counts from
+// outdatedFor returns how long a version newer than the given one has been wanted. It counts from
 // the first such version: a later one gives a replica no more time.
 //
 // If it is unknown when that version was named, for instance after a power loss of the whole
 // fleet, the weights that servers hold decide, since loading begins within a fraction of a
 // second of the naming. A version that no server of the service has held was most likely
-// named a moment ago, and all servers are behind: the time counts from when this host
+// named a moment ago, and all servers are outdated: the time counts from when this host
 // learned of it, so that they serve until one has loaded it. A version that a server of the
 // service has held has been wanted for longer, maybe for hours, and servers without it are
 // not used.
-func (t *Table) behind(service, model string, version int64, now time.Time) time.Duration {
+func (t *Table) outdatedFor(service, model string, version int64, now time.Time) time.Duration {
 	first, newer := t.firstNewer(model, version)
 	if !newer {
 		return 0
 	}
 	if !first.exactSince && t.newestHeld[serviceModel{service, model}] >= first.version {
-		return assumedBehind
+		return assumedOutdatedFor
 	}
 	return now.Sub(first.since)
 }
--- a/internal/replica/weights_test.go
+++ b/internal/replica/weights_test.go
@@ -59,7 +59,7 @@
 }
 
 // TestSupersededVersionIsReported checks that a host that starts learns of superseded
-// versions. It finds only the newest, while a replica two versions behind counts as behind
+// versions. It finds only the newest, while a replica two versions behind counts as outdated
 // since the one between.
 func TestSupersededVersionIsReported(t *testing.T) {
 	start := time.Now()
