--- a/internal/quota/admit.go
+++ b/internal/quota/admit.go
@@ -27,7 +27,7 @@
 }
 
 const (
-	// minRetryAfter is the lower bound of RetryAfter.
+	// minRetryAfter is the lower limit of RetryAfter.
 	minRetryAfter = 100 * time.Millisecond
 	// episodeTimeout is the time without a refusal after which an episode of refusals ends.
 	episodeTimeout = 2 * time.Second
--- a/internal/quota/exchange.go
+++ b/internal/quota/exchange.go
@@ -9,10 +9,10 @@
 )
 
 const (
-	// maxReported bounds the organisations in one heartbeat, at about 25 bytes each. Those with the
+	// maxReported limits the organisations in one heartbeat, at about 25 bytes each. Those with the
 	// most unreported usage come first.
 	maxReported = 40
-	// maxFullest bounds the buckets that are reported to a standby host. The fullest come first.
+	// maxFullest limits the buckets that are reported to a standby host. The fullest come first.
 	maxFullest = 12
 	// reportThreshold is how full a bucket must be, as a fraction, to be reported to standby hosts,
 	// and to routing hosts before the next heartbeat.
@@ -314,11 +314,11 @@
 }
 
 // addRejoined adds the usage that a host admitted while it was unreachable and that has not drained
-// since: all of it if the host reports no level. Otherwise two lower bounds are known: the usage
-// above one host's share of the rate for the overdue time, and the level times the unreachable
-// fraction of the fleet, less what hosts that rejoin together have already added. The larger one is
-// added, capped at the usage admitted. The total added for hosts that rejoin together is capped at
-// the level reported.
+// since: all of it if the host reports no level. Otherwise two minimums of that usage are known:
+// the usage above one host's share of the rate for the overdue time, and the level times the
+// unreachable fraction of the fleet, less what hosts that rejoin together have already added. The
+// larger one is added, capped at the usage admitted. The total added for hosts that rejoin together
+// is capped at the level reported.
 func (l *Limiter) addRejoined(a *account, u *pb.OrganisationUse, added int64, overdue time.Duration, now time.Time) {
 	if now.Sub(a.rejoinedUsedAt) > l.freshTimeout {
 		a.rejoinedUsed = 0
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -39,7 +39,7 @@
 // third for usage that a killed host had not reported yet, for large requests that several hosts
 // admit at once, and for requests that wait at a host before they are sent and may arrive in
 // another window. With a partitionShare of 0.3 and a burstShare of 0.25, a few of ten thousand
-// random schedules of partitions and kills exceeded the bound by up to 1.4 %.
+// random schedules of partitions and kills exceeded the limit and its tolerance by up to 1.4 %.
 const (
 	// burstShare is admitted beyond the burst, so that a caller within the limit is not refused
 	// because hosts account for the same usage at slightly different times.
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -166,7 +166,7 @@
 }
 
 // TestHostsCountTogether checks that usage admitted by one host counts against the limit on
-// another, and that a lost report is made up for by the next.
+// another, and that the next report includes the usage of a lost one.
 func TestHostsCountTogether(t *testing.T) {
 	a, now := newInformedLimiter(t, 1000)
 	b, _ := newInformedLimiter(t, 1000)
@@ -286,7 +286,7 @@
 }
 
 // TestStandbyHostReceivesFullestBuckets checks that a standby host receives the levels of the
-// fullest buckets, in a bounded number.
+// fullest buckets, in a limited number.
 func TestStandbyHostReceivesFullestBuckets(t *testing.T) {
 	rates := make([]float64, 200)
 	for i := range rates {
@@ -428,8 +428,8 @@
 
 // TestOverloadDoesNotAffectOtherOrganisations runs one organisation at 7.5 times its usual load
 // while fifteen others send theirs. None of their requests may be refused, as without the overload,
-// and what is admitted of the overload must keep the bound. Limits are 1.8 times what organisations
-// usually send.
+// and what is admitted of the overload must stay within the limit and its tolerance. Limits are 1.8
+// times what organisations usually send.
 func TestOverloadDoesNotAffectOtherOrganisations(t *testing.T) {
 	for _, demandFactor := range []float64{0.55, 7.5 * 0.55} {
 		f := newFleet(nil, testTerms, 18, 3)
--- a/internal/quota/schedule_test.go
+++ b/internal/quota/schedule_test.go
@@ -169,7 +169,7 @@
 // TestSchedulesThatOnceBrokeTheBound runs schedules in which hosts are partitioned and killed in
 // quick succession at eight times the limit. Each start, each partitioned host and each large
 // request that several hosts admit at once uses a part of the tolerance. With a partitionShare of
-// 0.3 and a burstShare of 0.25 or 0.3, these schedules exceeded the bound by up to 1.4 %.
+// 0.3 and a burstShare of 0.25 or 0.3, these schedules exceeded what is allowed by up to 1.4 %.
 func TestSchedulesThatOnceBrokeTheBound(t *testing.T) {
 	ms := time.Millisecond
 	for name, s := range map[string]schedule{
@@ -211,8 +211,8 @@
 	}
 }
 
-// TestHostsRestartDuringPartition guards against exceeding the bound when hosts on both sides of a
-// network partition restart in turn and each side counts only the hosts that it can reach.
+// TestHostsRestartDuringPartition guards against exceeding what is allowed when hosts on both sides
+// of a network partition restart in turn and each side counts only the hosts that it can reach.
 func TestHostsRestartDuringPartition(t *testing.T) {
 	ms := time.Millisecond
 	s := schedule{hosts: 6, seed: 16411864627072989971, loss: 0.005528481120373841, rate: 332418.94346911984, demandFactor: 8, actions: []action{
@@ -229,9 +229,9 @@
 	limits.check(t, o, testTerms)
 }
 
-// TestPartitionAtOverloadStart guards against exceeding the bound when a host is partitioned as an
-// organisation starts to send eight times its limit: both sides drain their buckets at the full
-// rate until they detect the partition.
+// TestPartitionAtOverloadStart guards against exceeding what is allowed when a host is partitioned
+// as an organisation starts to send eight times its limit: both sides drain their buckets at the
+// full rate until they detect the partition.
 func TestPartitionAtOverloadStart(t *testing.T) {
 	ms := time.Millisecond
 	s := schedule{hosts: 5, seed: 16863901983991500555, loss: 0.021516174698914894, rate: 384219.1329789272, demandFactor: 8, actions: []action{
@@ -284,8 +284,8 @@
 	limits.check(t, o, testTerms)
 }
 
-// TestPowerLossDuringPartition guards against exceeding the bound when hosts on both sides of a
-// partition start at the same time without a record of earlier usage, and two seconds later take
+// TestPowerLossDuringPartition guards against exceeding what is allowed when hosts on both sides of
+// a partition start at the same time without a record of earlier usage, and two seconds later take
 // the hosts that they can reach for the whole fleet.
 func TestPowerLossDuringPartition(t *testing.T) {
 	ms := time.Millisecond
--- a/internal/quota/ways_test.go
+++ b/internal/quota/ways_test.go
@@ -150,8 +150,8 @@
 }
 
 // TestCompareStrategies prints what each strategy admits and wrongly refuses: the table of
-// docs/design. The strategy of the Limiter must keep the bound in each scenario and, without
-// partitions, refuse next to nothing of what organisations below their limits send.
+// docs/design. The strategy of the Limiter must admit no more than allowed in each scenario and,
+// without partitions, refuse next to nothing of what organisations below their limits send.
 func TestCompareStrategies(t *testing.T) {
 	var table strings.Builder
 	table.WriteString("| hosts | organisations | trouble | way | worst window | refused below limit | of the limit not let in, beyond it | told/s | bytes/s |\n|---|---|---|---|---|---|---|---|---|\n")
