--- a/internal/topic/follow.go
+++ b/internal/topic/follow.go
@@ -20,7 +20,7 @@
 }
 
 const (
-	// firstBackoff and maxBackoff bound the pause after a failed call. With maxBackoff, a host is
+	// firstBackoff and maxBackoff limit the pause after a failed call. With maxBackoff, a host is
 	// less than a second behind once the store has recovered.
 	firstBackoff = 100 * time.Millisecond
 	maxBackoff   = 800 * time.Millisecond
@@ -42,8 +42,8 @@
 	Wait time.Duration
 	// NextWait, if set, replaces Wait: it returns the wait for the next read.
 	NextWait func() time.Duration
-	// Gap is the pause between two reads. It bounds the calls that a busy topic costs, and delays
-	// records by as much.
+	// Gap is the pause between two reads. It limits the number of calls for a busy topic, and
+	// delays records by as much.
 	Gap time.Duration
 	// SkipRead, if set, reports whether the next read is unnecessary because other hosts read the
 	// topic. A host that skips reads receives the records from those that do not.
@@ -177,7 +177,7 @@
 }
 
 // noteUnreadable logs that records of a page were skipped. Each record is read once, and once more
-// after the topic was trimmed, so the number of such writes bounds the log lines.
+// after the topic was trimmed, so the number of such writes limits the number of log lines.
 func (f *Follower) noteUnreadable(page platform.Page) {
 	if page.Unreadable > 0 {
 		f.Log.WithFields(logrus.Fields{"topic": f.Table.Name(), "records": page.Unreadable}).Warn("records that cannot be read were left out")
--- a/internal/topic/table.go
+++ b/internal/topic/table.go
@@ -48,7 +48,7 @@
 	origin Origin
 }
 
-// maxRemoved bounds the removals that are kept for other hosts.
+// maxRemoved limits the removals that are kept for other hosts.
 const maxRemoved = 4096
 
 // NewTable returns an empty table. onRecord is called for each newer record, never concurrently, in
--- a/internal/topic/topic_test.go
+++ b/internal/topic/topic_test.go
@@ -317,7 +317,7 @@
 	}
 }
 
-// TestFailedReadsBackOff bounds the number of calls during an outage.
+// TestFailedReadsBackOff checks that the number of calls during an outage is limited.
 func TestFailedReadsBackOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		reader := &fakeReader{down: true}
