--- a/internal/member/fleet_test.go
+++ b/internal/member/fleet_test.go
@@ -373,10 +373,10 @@
 	s.runUntilAgreed("the end of the roll", 0, 4*time.Second)
 }
 
-// TestSharesAfterSimultaneousStart bounds the sum of the shares that routing hosts assume.
+// TestSharesAfterSimultaneousStart limits the sum of the shares that routing hosts assume.
 // Each assumes an equal share for every routing host that it sees. When a fleet starts at
-// once, hosts see few others and the shares add up to many times the whole. After 4 s the
-// sum may exceed 1 by no more than a tenth, in fleets of one size and with many large hosts.
+// once, hosts see few others and the shares add up to many times the whole. After 4 s the sum
+// may exceed 1 by no more than a tenth, in fleets of one size and with many large hosts.
 func TestSharesAfterSimultaneousStart(t *testing.T) {
 	t.Parallel()
 	const (
--- a/internal/member/routing.go
+++ b/internal/member/routing.go
@@ -204,8 +204,8 @@
 }
 
 // precedingInZone returns, for each host, how many hosts of the same size and zone precede
-// it. Unlike a share of the zone's hosts, this is the same on every host that knows the
-// given ones.
+// it. Unlike a share of the zone's hosts, this is the same on every host that has a record of
+// the given ones.
 func precedingInZone(hosts []Candidate) map[string]int {
 	type group struct {
 		zone  string
--- a/internal/member/split.go
+++ b/internal/member/split.go
@@ -7,7 +7,7 @@
 	pb "github.com/briarlink/briarlink/api/briarlink/v1"
 )
 
-// listOverhead bounds the encoded tag and length of a list element, in bytes.
+// listOverhead is the maximum encoded size of the tag and length of a list element, in bytes.
 const listOverhead = 4
 
 // hashBytes is the encoded size of an element of a list of hashes.
--- a/internal/member/spread.go
+++ b/internal/member/spread.go
@@ -83,8 +83,8 @@
 	return a
 }
 
-// notifyFormerAudience adds the former audience of a host that has stopped routing, which
-// would otherwise declare the host dead.
+// notifyFormerAudience adds the former audience of this host if it has stopped routing. These
+// hosts would otherwise declare it dead.
 func (t *Table) notifyFormerAudience(v *View, a *Audience) {
 	switch {
 	case v.SelfRouting && !v.FullMesh:
--- a/internal/member/summary.go
+++ b/internal/member/summary.go
@@ -56,7 +56,8 @@
 }
 
 // AddDigest adds to a heartbeat a digest of the routing hosts seen recently. If there are
-// many, their states are relayed too rarely to keep standby hosts from declaring them dead.
+// many, their states are relayed so rarely that standby hosts would otherwise declare them
+// dead.
 func (t *Table) AddDigest(b *pb.Heartbeat, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/member/table.go
+++ b/internal/member/table.go
@@ -3,9 +3,9 @@
 //
 // In a small fleet every host sends heartbeats to every other. In a larger one the routing
 // hosts, which accept callers, send heartbeats to each other. The remaining hosts are on
-// standby: each sends heartbeats only to two routing hosts, its relays, which report the
-// rest of the fleet to it. The traffic of a host is thus bounded by the number of routing
-// hosts, not by the size of the fleet.
+// standby: each sends heartbeats only to two routing hosts, its relays, which report the rest
+// of the fleet to it. The traffic of a host is thus limited by the number of routing hosts,
+// not by the size of the fleet.
 package member
 
 import (
@@ -84,7 +84,8 @@
 // host is the table's record of one host.
 type host struct {
 	heartbeat *pb.Heartbeat
-	// lastSeen is the time at or before which the host sent its newest known liveness signal.
+	// lastSeen is approximately when the host sent its newest known liveness signal: the
+	// delay of datagrams is not subtracted, and a digest gives one age for all its hosts.
 	lastSeen time.Time
 	// direct is set if the host sends heartbeats to this one. lastDirect is when the last such
 	// heartbeat arrived, and directHeartbeat is that heartbeat.
@@ -101,8 +102,8 @@
 	// routingSince is when this host began to count it as a routing host, or zero if it does
 	// not.
 	routingSince time.Time
-	// excluded is set while the host, although chosen to route, has not reported within the
-	// timeout that it does. It may be alive, but other hosts route in its place.
+	// excluded is set while the host was chosen to route but has not reported within the
+	// timeout that it routes. It may be alive, but other hosts route in its place.
 	excluded bool
 	// dead is set from when the host is declared dead until it is seen again.
 	dead bool
