--- a/internal/rollout/ask.go
+++ b/internal/rollout/ask.go
@@ -10,7 +10,7 @@
 	// probeInterval is the time between two rounds of probes of unresponsive replicas. It is
 	// longer than callTimeout, so that each round has its answers before the next begins.
 	probeInterval = 750 * time.Millisecond
-	// maxProbes bounds the replicas probed in a round: reports are expensive, and replicas
+	// maxProbes limits the replicas probed in a round: reports are expensive, and replicas
 	// that became unresponsive together mostly recover together.
 	maxProbes = 4
 )
--- a/internal/rollout/ask_test.go
+++ b/internal/rollout/ask_test.go
@@ -120,8 +120,8 @@
 	return late
 }
 
-// TestReplicaReturnsWithWantedWeights guards against a host taking the return of one replica
-// for progress: an order had been executed and its answer lost, so that the replica returned
+// TestReplicaReturnsWithWantedWeights guards against a host counting the return of one replica
+// as progress: an order had been executed and its answer lost, so that the replica returned
 // with the wanted weights. That says nothing about the others, but the host yielded the lease
 // a second time without probing them.
 func TestReplicaReturnsWithWantedWeights(t *testing.T) {
@@ -143,8 +143,8 @@
 	}
 }
 
-// TestReplicaReturnsWhileAnotherRefuses checks that an unresponsive replica is probed also
-// while another one refuses orders.
+// TestReplicaReturnsWhileAnotherRefuses checks that an unresponsive replica is also probed
+// while another one rejects orders.
 func TestReplicaReturnsWhileAnotherRefuses(t *testing.T) {
 	t.Parallel()
 	late := countLateLoads(t, func(t *testing.T, unresponsiveFor time.Duration) time.Duration {
--- a/internal/rollout/handover_test.go
+++ b/internal/rollout/handover_test.go
@@ -48,7 +48,7 @@
 
 // TestRolloutAfterOrdersOfAnotherHost checks that a rollout takes no longer if another host
 // has rolled out the version before it. The host's recorded counts of orders were then
-// outdated, every order was refused, and the host waited 4 s for each replica as if the order
+// outdated, every order was rejected, and the host waited 4 s for each replica as if the order
 // might still take effect: some replicas had outdated weights for four times as long as a
 // rollout takes.
 func TestRolloutAfterOrdersOfAnotherHost(t *testing.T) {
@@ -90,8 +90,8 @@
 
 // TestLeaseOfALostHolderIsTakenInOrder checks that hosts try to take the lease one after the
 // other if its holder is lost while replicas have outdated weights. Every host that follows
-// the lease needs it at the time at which it ends; if all tried at once, all but one would
-// cost the store a refused append.
+// the lease needs it when it ends; if all tried at once, all but one would cost the store a
+// rejected append.
 func TestLeaseOfALostHolderIsTakenInOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := newFakeLog()
--- a/internal/rollout/lease.go
+++ b/internal/rollout/lease.go
@@ -158,8 +158,8 @@
 	l.expire(now)
 	rec := platform.LeaseRecord{Holder: l.holder, Incarnation: l.incarnation}
 	if !l.unconfirmedSince.IsZero() && now.Sub(l.unconfirmedSince) < l.ttl {
-		// The last append may still take effect; another one at the same offset would then
-		// be refused, and would not tell who holds the lease.
+		// The last append may still take effect. Another one at the same offset would then
+		// be rejected, which would not show who holds the lease.
 		return rec, 0, false
 	}
 	switch {
@@ -236,14 +236,14 @@
 			l.log.WithFields(logrus.Fields{"lease": l.Purpose, "fencing": l.fencing}).Warn("lease lost: the log has another end")
 			l.markVacant(eventEnded)
 		}
-		// The conflicting record is to be read before the next append. A read that still
-		// waits for it has lost its answer, and is sent again.
+		// The conflicting record must be read before the next append. The answer to a read
+		// that still waits for it may have been lost; it is cancelled and sent again.
 		l.unconfirmedSince = sent
 		if l.cancelRead != nil {
 			l.cancelRead()
 		}
 	case errors.As(err, &status):
-		// The store refused the append: it has no effect.
+		// The store rejected the append, which therefore has no effect.
 	default:
 		l.unconfirmedSince = sent
 		l.log.WithError(err).WithField("lease", l.Purpose).Warn("append to the lease's log without an answer")
--- a/internal/rollout/lease_test.go
+++ b/internal/rollout/lease_test.go
@@ -33,7 +33,7 @@
 	mu      sync.Mutex
 	records []platform.Record
 	changed chan struct{}
-	// conflicts counts refused appends.
+	// conflicts counts rejected appends.
 	conflicts int
 }
 
--- a/internal/rollout/loader.go
+++ b/internal/rollout/loader.go
@@ -31,7 +31,7 @@
 	// RecordOlderWeights records that a server reports older weights than the assumed ones, unless
 	// other weights have been recorded since. It reports whether it did.
 	RecordOlderWeights(id, model string, assumed, version int64) bool
-	// MarkLoading marks a server as loading, so that it gets no requests until then.
+	// MarkLoading marks a server as loading, so that it gets no requests until the given time.
 	MarkLoading(id string, until time.Time)
 	// WaitingRequests returns how many requests of all hosts wait at a server for their first
 	// event.
@@ -44,15 +44,15 @@
 const (
 	// planInterval is how often the weights of the replicas are compared with those wanted.
 	planInterval = 60 * time.Millisecond
-	// callTimeout bounds one call to a replica, for a report or with a load order.
+	// callTimeout limits one call to a replica: a request for a report, or a load order.
 	callTimeout = 700 * time.Millisecond
-	// pollInterval is how often a loading replica is asked for a report. Reports are
-	// expensive, and some hundred milliseconds old when they arrive.
+	// pollInterval is the time between requests for a report of a loading replica. Reports
+	// are expensive, and some hundred milliseconds old when they arrive.
 	pollInterval = 150 * time.Millisecond
 	// minLoadTime is the shortest time that loading takes; the first report is requested
 	// after it.
 	minLoadTime = 300 * time.Millisecond
-	// loadTimeout bounds an attempt to load a replica; the next plan decides on it again.
+	// loadTimeout limits an attempt to load a replica; the next plan may start another one.
 	loadTimeout = 4 * time.Second
 	// lostOrderTimeout is how long to wait for a load order without an answer to take
 	// effect.
@@ -65,7 +65,7 @@
 	loadingMarkTTL = 700 * time.Millisecond
 	// minDrain is how long a replica gets no new requests before its load order: the mark
 	// has to reach the other hosts, and the requests that they sent before that have to
-	// reach the replica. maxDrain bounds the wait for prefills in progress, whose work the
+	// reach the replica. maxDrain limits the wait for prefills in progress, whose work the
 	// order would discard.
 	minDrain          = 60 * time.Millisecond
 	maxDrain          = 900 * time.Millisecond
--- a/internal/rollout/loader_test.go
+++ b/internal/rollout/loader_test.go
@@ -313,8 +313,8 @@
 	})
 }
 
-// TestDownReplicasDoNotDelayOthers checks that the other replicas are loaded meanwhile, and
-// those that were down once they are up again.
+// TestDownReplicasDoNotDelayOthers checks that the other replicas are loaded while some are
+// down, and those once they are up again.
 func TestDownReplicasDoNotDelayOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fleet := newFakeFleet(6)
@@ -373,7 +373,7 @@
 	})
 }
 
-// runVerify runs Verify for a second, with one replica that has refused requests for the
+// runVerify runs Verify for a second, with one replica that has rejected requests for the
 // weights that it was assumed to hold, and returns the loader.
 func runVerify(t *testing.T, fleet *fakeFleet, unverified string) *Loader {
 	fleet.unverified = map[string]bool{unverified: true}
@@ -406,7 +406,7 @@
 
 // TestReplicaWithOlderWeightsIsLoadedAgain checks that a replica's own report of older weights
 // replaces the assumed ones. An order may be executed after a newer one, for example if it was
-// sent before a restart of the replica. The replica then refuses requests for the assumed
+// sent before a restart of the replica. The replica then rejects requests for the assumed
 // weights, and no host would send it another order.
 func TestReplicaWithOlderWeightsIsLoadedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/rollout/order.go
+++ b/internal/rollout/order.go
@@ -245,9 +245,9 @@
 	}
 }
 
-// cannotTakeEffect reports whether an order that the replica has not confirmed need not be
-// waited for: the replica is not loading, and it has either accepted other orders since, so
-// that the order's sequence number no longer matches, or had enough time to receive this one.
+// cannotTakeEffect reports whether to stop waiting for an order that the replica has not
+// confirmed: the replica is not loading, and has either accepted other orders since, so that the
+// order's sequence number no longer matches, or had enough time to receive this one.
 // Without the check of the sequence number a host with an outdated count of a replica's orders
 // would lose loadTimeout on each replica.
 func cannotTakeEffect(report platform.EngineReport, sequence int64, waited time.Duration) bool {
--- a/internal/rollout/turn.go
+++ b/internal/rollout/turn.go
@@ -7,11 +7,12 @@
 )
 
 const (
-	// unresponsiveTimeout and stalledTimeout are how long the holder of the lease goes on
-	// trying a replica without success. When that time is over for all outdated replicas it
-	// yields the lease. The first is for a replica that does not answer: two more calls. The
-	// second is for one that answers: a few more orders, since orders may get lost. The next
-	// host takes over when the lease has ended, 3.3 s later.
+	// unresponsiveTimeout and stalledTimeout are how long the lease holder keeps trying a
+	// replica without success. When that time is over for all outdated replicas, it yields the
+	// lease. unresponsiveTimeout applies to a replica that does not answer and leaves time for
+	// two more calls. stalledTimeout applies to one that answers and leaves time for a few more
+	// orders, since orders may get lost. The next host takes over when the lease has ended,
+	// 3.3 s later.
 	unresponsiveTimeout = 1500 * time.Millisecond
 	stalledTimeout      = 5 * time.Second
 	// slowHostTimeout is how long the holder keeps the lease while no replica loads and half
@@ -38,7 +39,7 @@
 	answersAgain bool
 }
 
-// timeout returns how long a host goes on trying the replica without success.
+// timeout returns how long a host keeps trying the replica without success.
 func (f failure) timeout() time.Duration {
 	if f.answered {
 		return stalledTimeout
@@ -118,9 +119,10 @@
 func (l *Loader) hasYielded() bool { return l.leaseTerm != 0 && l.yieldedTerm == l.leaseTerm }
 
 // mayResume reports whether this host may keep a lease that it has yielded: once, and again
-// only after a replica was seen loading since. A host that gets only some of the calls of an
-// attempt answered never resumes: an answer does not show that it can load the replica, and
-// it would keep the lease for 40 s from a host that gets all of them. l.mu is held.
+// only after a replica was seen loading since. A host that had only some of the calls of an
+// attempt answered does not resume: an answer does not show that it can load the replica, and
+// by resuming it could keep the lease for 40 s from a host whose calls are all answered. l.mu
+// is held.
 func (l *Loader) mayResume() bool {
 	return !l.partlyReachable && (l.resumedAt.IsZero() || l.progress.since.After(l.resumedAt))
 }
--- a/internal/rollout/verify.go
+++ b/internal/rollout/verify.go
@@ -43,9 +43,9 @@
 	}
 }
 
-// recordOlderWeights records that a replica which refused requests for the weights that it
-// was assumed to hold reports older ones: an order was executed after a newer one. The
-// replica keeps the older weights unless it is sent another load order.
+// recordOlderWeights records that a replica, which rejected requests for the weights that it was
+// assumed to hold, reports older ones: an older order was executed after a newer one. The replica
+// keeps the older weights unless it is sent another load order.
 func (l *Loader) recordOlderWeights(id, model string, assumed, version int64) {
 	if !l.replicas.RecordOlderWeights(id, model, assumed, version) {
 		return
