--- a/internal/canary/counts.go
+++ b/internal/canary/counts.go
@@ -127,7 +127,7 @@
 }
 
 // medianShare is the largest share of answers that may exceed the median's threshold. It is
-// above a half so that the threshold does not flap when the median lies close to one.
+// above a half so that the index does not flap when the median lies close to a threshold.
 const medianShare = 0.55
 
 // medianThreshold returns the index of the first threshold that about half of the answers do
@@ -142,8 +142,8 @@
 }
 
 const (
-	// toleratedIncrease is how many times as often as with the old version bad answers may
-	// occur: new servers start without cached prompts, and may be of another kind.
+	// toleratedIncrease is the factor by which bad answers may be more frequent than with the
+	// old version: new servers start without cached prompts, and may be of another kind.
 	toleratedIncrease = 1.25
 	// stdDevs is how many standard deviations are added to the old version's count of bad
 	// answers.
@@ -183,7 +183,7 @@
 
 const (
 	// windowStep is the shortest time between the starts of the windows over which versions
-	// are compared, and maxWindows bounds their number. There are several windows because a
+	// are compared, and maxWindows limits their number. There are several windows because a
 	// version may turn bad only later.
 	windowStep = time.Second
 	maxWindows = 32
--- a/internal/canary/rollout.go
+++ b/internal/canary/rollout.go
@@ -20,7 +20,8 @@
 	StateWaiting = "waiting"
 	// StateRunning: a share of the requests goes to the new version.
 	StateRunning = "running"
-	// StateMoving: all new requests go to the new version, while those at the old one end.
+	// StateMoving: all new requests go to the new version, while requests that run on the old
+	// one finish.
 	StateMoving = "moving"
 	// StateDone and StateRolledBack are final.
 	StateDone       = "done"
@@ -86,8 +87,8 @@
 	// it, provided that the old version has given as many.
 	minAnswers = 12
 	// shiftShare is the part of the duration, up to maxShiftTime, that is reserved at the end
-	// for moving all requests, as those at the old version have to end. A version that turns
-	// bad only then is not detected.
+	// for moving all requests, as those at the old version have to finish. A version that turns
+	// bad only then may go undetected.
 	shiftShare   = 0.25
 	maxShiftTime = 10 * time.Second
 	// storeMargin is the time reserved at the end for writing to the store.
