--- a/internal/clock/suspend.go
+++ b/internal/clock/suspend.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// checkInterval is the minimum time between two checks for a suspension. It is so short
-	// that a suspension is noticed before a resumed machine acts on outdated state.
+	// checkInterval is the minimum time between two checks for a suspension. It limits how
+	// long a resumed machine may act on outdated state.
 	checkInterval = 20 * time.Millisecond
 	// minSuspension is the shortest suspension that is detected. Shorter differences between
 	// the two clocks may come from the time that it takes to read them.
