--- a/internal/peer/pack.go
+++ b/internal/peer/pack.go
@@ -19,7 +19,7 @@
 	maxUnpacked = 64 << 20
 )
 
-// Pack puts records into a response, compressed if they exceed packThreshold.
+// Pack puts records into a response, compressed if they take at least packThreshold bytes.
 func Pack(records []*pb.TopicRecord, out *pb.FetchRecordsResponse) error {
 	list := &pb.RecordList{Records: records}
 	if proto.Size(list) < packThreshold {
