--- a/internal/obs/log_test.go
+++ b/internal/obs/log_test.go
@@ -39,7 +39,7 @@
 }
 
 // TestLogRateIsBounded: lines at level info stay within the configured rate, and lines at
-// level warning may use the room up to twice that rate.
+// level warning may use up to twice that rate.
 func TestLogRateIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var buf bytes.Buffer
--- a/internal/obs/metrics.go
+++ b/internal/obs/metrics.go
@@ -46,18 +46,18 @@
 	RoutingHosts tally.Gauge
 	Replicas     tally.Gauge
 	// Lacking is the number of replicas with outdated weights, and LackingAge the longest
-	// time, in seconds, for which one of them has had them, as far as this host knows.
+	// time, in seconds, for which a replica has had outdated weights, as far as this host knows.
 	Lacking    tally.Gauge
 	LackingAge tally.Gauge
 	// LeaseHeld is 1 while this host holds the lease for weights.
 	LeaseHeld tally.Gauge
-	// Orders counts the commands to load weights that this host gives.
+	// Orders counts the load orders that this host sends.
 	Orders tally.Counter
 	// Connections is the number of connections opened to backend servers.
 	Connections tally.Gauge
 	// BulkRead is the number of bytes received in bulk reads, such as those of cache events.
 	BulkRead tally.Gauge
-	// Malformed counts store entries of backend servers that name no server.
+	// Malformed counts store entries of backend servers that describe no server.
 	Malformed tally.Counter
 	// Quarantined is the number of quarantined requests: backend servers crashed while
 	// running them, so they are rejected.
