--- a/internal/cachesync/follower.go
+++ b/internal/cachesync/follower.go
@@ -193,7 +193,7 @@
 
 // record records in the index how much of a prefix block the holder holds.
 func (f *Follower) record(held platform.HeldBlock) {
-	f.Index.Stored(f.Holder.Name, prefix.HashOf(held.Salt, held.Part), held.Tokens, f.Holder.Capacity, clock.Now())
+	f.Index.Stored(f.Holder.Name, prefix.HashOf(held.Salt, held.Block), held.Tokens, f.Holder.Capacity, clock.Now())
 }
 
 func (f *Follower) logger() *logrus.Entry { return f.Log.WithField("holder", f.Holder.Name) }
--- a/internal/cachesync/follower_test.go
+++ b/internal/cachesync/follower_test.go
@@ -42,7 +42,7 @@
 
 // storedEvent returns the event of a prefix block that is now held.
 func storedEvent(block string) platform.CacheEvent {
-	return platform.CacheEvent{HeldBlock: platform.HeldBlock{Salt: "s", Part: block, Tokens: 100}}
+	return platform.CacheEvent{HeldBlock: platform.HeldBlock{Salt: "s", Block: block, Tokens: 100}}
 }
 
 func blockName(i int) string { return fmt.Sprintf("p%d", i) }
--- a/internal/cachesync/link_test.go
+++ b/internal/cachesync/link_test.go
@@ -225,7 +225,7 @@
 		h := newRemoteHolders(150, pageEvents, slowLink)
 		log := logrus.New()
 		log.SetOutput(io.Discard)
-		s := Survey{Engine: h, Index: h.index, Log: log, Budget: bandwidth.NewBudget(slowLink), Announce: func(string, prefix.Prompt) {}}
+		s := Survey{Engine: h, Index: h.index, Log: log, Budget: bandwidth.NewBudget(slowLink), OnFound: func(string, prefix.Prompt) {}}
 		var all []Holder
 		for i := range h.fakes {
 			all = append(all, h.holder(i))
--- a/internal/cachesync/survey.go
+++ b/internal/cachesync/survey.go
@@ -34,8 +34,8 @@
 	Log    *logrus.Logger
 	// Budget limits this host's bulk reads.
 	Budget *bandwidth.Budget
-	// Announce is called with the large prefix blocks of each holder that has some.
-	Announce func(holder string, blocks prefix.Prompt)
+	// OnFound is called with the large prefix blocks of each holder that has some.
+	OnFound func(holder string, blocks prefix.Prompt)
 }
 
 // Run reads each holder once, some of them concurrently, and returns early if ctx ends.
@@ -73,7 +73,7 @@
 	}
 	large := map[prefix.Hash]int{}
 	for _, ev := range events.Events {
-		block := prefix.HashOf(ev.Salt, ev.Part)
+		block := prefix.HashOf(ev.Salt, ev.Block)
 		s.Index.Stored(h.Name, block, ev.Tokens, h.Capacity, clock.Now())
 		if ev.Tokens >= minAnnouncedTokens {
 			large[block] = ev.Tokens
@@ -89,5 +89,5 @@
 		announced.Blocks = append(announced.Blocks, block)
 		announced.Tokens = append(announced.Tokens, large[block])
 	}
-	s.Announce(h.Name, announced)
+	s.OnFound(h.Name, announced)
 }
--- a/internal/cachesync/survey_test.go
+++ b/internal/cachesync/survey_test.go
@@ -43,7 +43,7 @@
 		return platform.CacheEvents{}, context.DeadlineExceeded
 	case i%10 == 0:
 		add := func(block string, tokens int) platform.CacheEvent {
-			return platform.CacheEvent{HeldBlock: platform.HeldBlock{Part: block, Tokens: tokens}}
+			return platform.CacheEvent{HeldBlock: platform.HeldBlock{Block: block, Tokens: tokens}}
 		}
 		return platform.CacheEvents{Next: 4, Events: []platform.CacheEvent{
 			add("large", 13000), add("small", 50), add("dropped", 9000), add("dropped", 0),
@@ -74,7 +74,7 @@
 		index := prefix.NewIndex()
 		var mu sync.Mutex
 		announced := map[string]prefix.Prompt{}
-		s := Survey{Engine: engines, Index: index, Log: log, Announce: func(holder string, blocks prefix.Prompt) {
+		s := Survey{Engine: engines, Index: index, Log: log, OnFound: func(holder string, blocks prefix.Prompt) {
 			mu.Lock()
 			defer mu.Unlock()
 			announced[holder] = blocks
--- a/internal/dispatch/answer.go
+++ b/internal/dispatch/answer.go
@@ -62,7 +62,7 @@
 		return replica.Failed, errkind.New(errkind.BackendError, fmt.Sprintf("the replica answered %d", resp.Status))
 	}
 	x.report.Status = resp.Status
-	if err := x.out.Complete(resp.Status, header, body); err != nil {
+	if err := x.out.Buffered(resp.Status, header, body); err != nil {
 		return replica.Answered, errkind.Wrap(errkind.CallerGone, err, "the caller left")
 	}
 	return replica.Answered, nil
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -106,7 +106,7 @@
 	if err != nil {
 		reason = err.Error()
 	}
-	r.report.Tries = append(r.report.Tries, Attempt{choice.ID, result.String(), reason, clock.Since(began).Milliseconds()})
+	r.report.Attempts = append(r.report.Attempts, Attempt{choice.ID, result.String(), reason, clock.Since(began).Milliseconds()})
 }
 
 func (x *exchange) send(ctx context.Context) (replica.Result, error) {
--- a/internal/dispatch/connect_test.go
+++ b/internal/dispatch/connect_test.go
@@ -120,7 +120,7 @@
 		if got := sendRequest(d); got.err != nil || got.took > 0 {
 			t.Errorf("the next request: %v after %v", got.err, got.took)
 		}
-		if r := table.Snapshot(testService, "", 0, time.Now())[0]; !r.Usable || r.Doubted {
+		if r := table.Snapshot(testService, "", 0, time.Now())[0]; !r.Usable || r.Suspected {
 			t.Errorf("after an answer: %+v", r)
 		}
 	})
@@ -192,7 +192,7 @@
 		}
 		suspected := 0
 		for _, r := range table.Snapshot(testService, "", 0, time.Now()) {
-			if r.Doubted {
+			if r.Suspected {
 				suspected++
 			}
 		}
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -86,8 +86,8 @@
 
 // Answer writes the answer to the caller.
 type Answer interface {
-	// Complete writes a complete answer that is not streamed.
-	Complete(status int, h http.Header, body []byte) error
+	// Buffered writes a complete answer that is not streamed.
+	Buffered(status int, h http.Header, body []byte) error
 	// Start writes the headers of a stream; they are those of the first replica that streams.
 	Start(status int, h http.Header) error
 	// Event writes one complete event of a stream.
@@ -124,8 +124,8 @@
 	// Holds counts how often the request waited for another request's prefill.
 	Holds int
 	// Digest is equal for all attempts at the same request, even under different IDs.
-	Digest quarantine.Digest
-	Tries  []Attempt
+	Digest   quarantine.Digest
+	Attempts []Attempt
 }
 
 // Attempt is the outcome of one attempt.
@@ -190,8 +190,8 @@
 	r := &run{d: d, req: req, out: out, machine: newMachine(), began: clock.Now(), exclude: map[string]bool{}}
 	r.report.Digest = req.digest()
 	r.report.Prompt = req.Caller.PromptTokens
-	if n := len(req.Caller.Parts); n > 1 {
-		r.report.Prefix = req.Caller.Parts[n-2].ID
+	if n := len(req.Caller.Blocks); n > 1 {
+		r.report.Prefix = req.Caller.Blocks[n-2].ID
 	}
 	d.budget.RecordRequest(req.Service.Name, r.began)
 	err := r.loop(ctx)
@@ -259,7 +259,7 @@
 		Store:         req.Store,
 		Organisation:  req.Organisation,
 		Model:         req.Caller.Model,
-		Blocks:        req.Caller.Parts,
+		Blocks:        req.Caller.Blocks,
 		PromptTokens:  req.Caller.PromptTokens,
 		OutputTokens:  req.Caller.OutputTokens,
 		LatencyTarget: req.Route.LatencyTarget,
@@ -315,7 +315,7 @@
 func (r *run) finish(ctx context.Context, err error) error {
 	if r.errorAnswer != nil && !r.started && ctx.Err() == nil {
 		r.report.Status = r.errorAnswer.status
-		return r.out.Complete(r.errorAnswer.status, r.errorAnswer.header, r.errorAnswer.body)
+		return r.out.Buffered(r.errorAnswer.status, r.errorAnswer.header, r.errorAnswer.body)
 	}
 	switch {
 	case deadlinePassed(ctx):
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -179,7 +179,7 @@
 	wrote  int
 }
 
-func (a *recorder) Complete(status int, _ http.Header, body []byte) error {
+func (a *recorder) Buffered(status int, _ http.Header, body []byte) error {
 	a.status, a.body = status, string(body)
 	a.wrote++
 	return nil
--- a/internal/entry/answer.go
+++ b/internal/entry/answer.go
@@ -26,8 +26,8 @@
 	}
 }
 
-// Complete implements dispatch.Answer: it writes a buffered answer.
-func (ex *exchange) Complete(status int, h http.Header, body []byte) error {
+// Buffered implements dispatch.Answer: it writes a buffered answer.
+func (ex *exchange) Buffered(status int, h http.Header, body []byte) error {
 	ex.copyHeaders(h)
 	ex.w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	ex.answered = true
@@ -122,8 +122,8 @@
 		fields["source"], fields["sink"], fields["salt"] = ex.report.Source, ex.report.Sink, ex.report.Salt
 		fields["first_ms"], fields["expected_ms"] = ex.report.First.Milliseconds(), ex.report.Expected.Milliseconds()
 	}
-	if len(ex.report.Tries) > 1 || err != nil {
-		fields["tries"] = ex.report.Tries
+	if len(ex.report.Attempts) > 1 || err != nil {
+		fields["tries"] = ex.report.Attempts
 		if ex.report.Digest != 0 {
 			fields["digest"] = ex.report.Digest.String()
 		}
--- a/internal/entry/limit.go
+++ b/internal/entry/limit.go
@@ -17,7 +17,7 @@
 		return nil
 	}
 	decision := ex.s.Limiter.Admit(ex.org.Name, quota.Size{
-		PromptTokens: ex.caller.PromptTokens, OutputTokens: ex.caller.OutputTokens, HasTokenCount: ex.caller.SaysTokens,
+		PromptTokens: ex.caller.PromptTokens, OutputTokens: ex.caller.OutputTokens, HasTokenCount: ex.caller.HasTokenCount,
 	}, ex.arrived)
 	if decision.Admitted {
 		ex.charged = decision.Cost
--- a/internal/entry/request.go
+++ b/internal/entry/request.go
@@ -157,7 +157,7 @@
 // describe fills in the caller's request from an OpenAI-compatible body, unless the headers
 // already describe the prompt.
 func (ex *exchange) describe(body []byte) error {
-	if !ex.route.Prompts || len(ex.caller.Parts) > 0 || !oai.Matches(ex.r.URL.Path) {
+	if !ex.route.Prompts || len(ex.caller.Blocks) > 0 || !oai.Matches(ex.r.URL.Path) {
 		return nil
 	}
 	if err := oai.Describe(body, &ex.caller); err != nil {
@@ -190,7 +190,7 @@
 		Body:         body,
 		Route:        ex.route,
 		Service:      service,
-		Store:        ex.view.Config.Store(schedule.StoreKey(ex.caller.Parts)),
+		Store:        ex.view.Config.Store(schedule.StoreKey(ex.caller.Blocks)),
 		Organisation: ex.org,
 		Caller:       ex.caller,
 		Deadline:     deadline,
--- a/internal/node/beliefs_test.go
+++ b/internal/node/beliefs_test.go
@@ -61,7 +61,7 @@
 func (n *Node) outdatedFor(id string) time.Duration {
 	for _, r := range n.replicas.Snapshot("writer", "m", 0, time.Now()) {
 		if r.ID == id {
-			return r.Behind
+			return r.OutdatedFor
 		}
 	}
 	return -1
--- a/internal/node/cache.go
+++ b/internal/node/cache.go
@@ -80,7 +80,7 @@
 // survey reads once the cache contents of this host's part of the replicas, and announces them
 // to the other hosts.
 func (n *Node) survey(ctx context.Context) {
-	s := cachesync.Survey{Engine: n.engines, Index: n.index, Log: n.log, Budget: n.bulkReads, Announce: n.scheduler.AnnounceHeld}
+	s := cachesync.Survey{Engine: n.engines, Index: n.index, Log: n.log, Budget: n.bulkReads, OnFound: n.scheduler.AnnounceHeld}
 	s.Run(ctx, n.eventSources(n.members.View(clock.Now()), func(int) int { return 1 }))
 }
 
--- a/internal/node/suspend_test.go
+++ b/internal/node/suspend_test.go
@@ -27,8 +27,8 @@
 			t.Errorf("the configuration's age is %v", age)
 		}
 		for _, r := range n.replicas.Snapshot("writer", "m", 0, clock.Now()) {
-			if r.Behind < suspension {
-				t.Errorf("newer weights have been wanted for %v", r.Behind)
+			if r.OutdatedFor < suspension {
+				t.Errorf("newer weights have been wanted for %v", r.OutdatedFor)
 			}
 		}
 	})
--- a/internal/oai/oai.go
+++ b/internal/oai/oai.go
@@ -53,7 +53,7 @@
 	}
 	prompt := req.render()
 	out.Model = req.Model
-	out.Parts = splitBlocks(prompt)
+	out.Blocks = splitBlocks(prompt)
 	out.PromptTokens = (len(prompt) + bytesPerToken - 1) / bytesPerToken
 	out.OutputTokens = max(0, req.MaxTokens)
 	return nil
--- a/internal/oai/oai_test.go
+++ b/internal/oai/oai_test.go
@@ -23,15 +23,15 @@
 	long := strings.Repeat("history ", 1000)
 	a := describe(t, `{"model":"m","max_tokens":9,"prompt":"`+long+`first"}`)
 	b := describe(t, `{"model":"m","prompt":"`+long+`second question"}`)
-	if a.Model != "m" || a.OutputTokens != 9 || len(a.Parts) != 5 || a.PromptTokens < 2000 {
+	if a.Model != "m" || a.OutputTokens != 9 || len(a.Blocks) != 5 || a.PromptTokens < 2000 {
 		t.Errorf("got %+v", a)
 	}
 	for i := range 4 {
-		if a.Parts[i] != b.Parts[i] {
+		if a.Blocks[i] != b.Blocks[i] {
 			t.Errorf("block %d differs", i)
 		}
 	}
-	if a.Parts[4].ID == b.Parts[4].ID {
+	if a.Blocks[4].ID == b.Blocks[4].ID {
 		t.Error("different ends have the same block")
 	}
 }
--- a/internal/replica/failures_test.go
+++ b/internal/replica/failures_test.go
@@ -26,8 +26,8 @@
 	table := newTestTable("a", "b")
 	now := loseEveryThirdAnswer(table, "a", time.Now())
 	for _, r := range table.Snapshot(testService, testModel, 1000, now) {
-		if bad := r.Errors > 0.1; bad != (r.ID == "a") {
-			t.Errorf("%s: share of failures %.2f", r.ID, r.Errors)
+		if bad := r.ErrorRate > 0.1; bad != (r.ID == "a") {
+			t.Errorf("%s: share of failures %.2f", r.ID, r.ErrorRate)
 		}
 	}
 }
@@ -63,7 +63,7 @@
 	local.SetLoads("there", reporter.Changes(remote.Loads(now), true), now)
 	share := func(at time.Time) (a, b float64) {
 		s := local.Snapshot(testService, testModel, 1000, at)
-		return s[0].Errors, s[1].Errors
+		return s[0].ErrorRate, s[1].ErrorRate
 	}
 	if a, b := share(now); a < 0.3 || b != 0 {
 		t.Errorf("shares %.2f and %.2f", a, b)
--- a/internal/replica/pace.go
+++ b/internal/replica/pace.go
@@ -14,9 +14,9 @@
 	// minEngineTime is the shortest expected service time of a request to an engine that
 	// counts as a sample: shorter ones are mostly network time.
 	minEngineTime = 100 * time.Millisecond
-	// minOwnShare is the minimum share of the expected time that must be the request's own:
-	// the rest is spent queued behind other requests, or on a fetch.
-	minOwnShare = 0.8
+	// minServiceTimeShare is the minimum share of the expected time that must be the request's
+	// own service time: the rest is spent queued behind other requests, or on a fetch.
+	minServiceTimeShare = 0.8
 	// maxSlowdown and minSlowdown are the limits of a slowdown.
 	maxSlowdown = 8.0
 	minSlowdown = 0.2
@@ -66,14 +66,14 @@
 // recordSlowdown adds the slowdown of an answer to the samples. It reports whether the answer
 // counts as a sample.
 func (e *entry) recordSlowdown(f *Flight, actual time.Duration) bool {
-	own := f.work.ServiceTime
-	if own <= 0 || f.work.Engine && own < minEngineTime {
+	serviceTime := f.work.ServiceTime
+	if serviceTime <= 0 || f.work.Engine && serviceTime < minEngineTime {
 		return false
 	}
-	if float64(f.work.Expected)*minOwnShare > float64(own)*max(1, f.work.Slowdown) {
+	if float64(f.work.Expected)*minServiceTimeShare > float64(serviceTime)*max(1, f.work.Slowdown) {
 		return false
 	}
-	e.slowdownSamples.add(float64(actual) / float64(own))
+	e.slowdownSamples.add(float64(actual) / float64(serviceTime))
 	return true
 }
 
--- a/internal/replica/pace_test.go
+++ b/internal/replica/pace_test.go
@@ -27,7 +27,7 @@
 	table.MergeSlowdowns()
 	for _, r := range table.Snapshot(testService, testModel, 1000, now) {
 		if r.ID == id {
-			return r.Pace
+			return r.Slowdown
 		}
 	}
 	return 0
@@ -90,7 +90,7 @@
 		f.End(Answered, now.Add(60*time.Millisecond))
 	}
 	table.MergeSlowdowns()
-	if got := table.Snapshot("jobs", "", 0, now)[0].Pace; got != 2 {
+	if got := table.Snapshot("jobs", "", 0, now)[0].Slowdown; got != 2 {
 		t.Errorf("slowdown %.2f, want 2", got)
 	}
 }
--- a/internal/replica/restart_test.go
+++ b/internal/replica/restart_test.go
@@ -36,12 +36,12 @@
 		t.Errorf("state of %v was dropped, want a's once", dropped)
 	}
 	r := table.Snapshot(testService, testModel, 1000, now)[0]
-	if !r.Usable || r.Doubted || r.Requests != 0 || r.PrefillTokens != 0 || r.Errors != 0 || r.Weights != 1 {
+	if !r.Usable || r.Suspected || r.Requests != 0 || r.PrefillTokens != 0 || r.ErrorRate != 0 || r.Weights != 1 {
 		t.Errorf("state of the new incarnation: %+v", r)
 	}
 	// The exchange with the earlier incarnation ends late.
 	flight.End(Lost, now.Add(time.Second))
-	if r := table.Snapshot(testService, testModel, 1000, now.Add(time.Second))[0]; r.Errors != 0 || r.Doubted {
+	if r := table.Snapshot(testService, testModel, 1000, now.Add(time.Second))[0]; r.ErrorRate != 0 || r.Suspected {
 		t.Errorf("the end of a request to the earlier incarnation counts against the new one: %+v", r)
 	}
 	if got := table.Servers(now)[0].Started; got != 2000 {
@@ -90,7 +90,7 @@
 	if s.Down || !s.Suspected {
 		t.Errorf("here it is %+v, want suspected and not down", s)
 	}
-	if r := here.Snapshot(testService, testModel, 1000, now)[0]; !r.Doubted {
+	if r := here.Snapshot(testService, testModel, 1000, now)[0]; !r.Suspected {
 		t.Error("a server that another host reports as down still gets requests")
 	}
 	// A host's report ends soon after it could connect again, even if no request has
--- a/internal/replica/table.go
+++ b/internal/replica/table.go
@@ -312,11 +312,11 @@
 	unresponsiveFor := e.unresponsiveFor(now)
 	return route.Replica{
 		ID: id, Address: e.reg.Address, AvailabilityZone: e.reg.AvailabilityZone, Software: e.reg.Software,
-		Backoff: e.backoff(now), Usable: serving && !e.health.unreachable, Doubted: down || unresponsiveFor >= unresponsiveThreshold, Trial: trial, Loading: now.Before(e.loadingUntil),
-		Weights: e.weights[model], Behind: t.outdatedFor(e.reg.Service, model, e.weights[model], now), Slots: e.reg.Slots,
+		Backoff: e.backoff(now), Usable: serving && !e.health.unreachable, Suspected: down || unresponsiveFor >= unresponsiveThreshold, Trial: trial, Loading: now.Before(e.loadingUntil),
+		Weights: e.weights[model], OutdatedFor: t.outdatedFor(e.reg.Service, model, e.weights[model], now), Slots: e.reg.Slots,
 		Requests: int(l.requests), PrefillTokens: int(l.prefill),
 		MemoryTokens: int(l.memory), CacheTokens: cacheTokens,
-		Slow: e.health.slow(now), Pace: t.slowdownOf(e), Errors: t.recentOutcomes(e, now).share(), Silence: unresponsiveFor,
+		RecentSlowdown: e.health.slow(now), Slowdown: t.slowdownOf(e), ErrorRate: t.recentOutcomes(e, now).share(), UnresponsiveFor: unresponsiveFor,
 	}
 }
 
--- a/internal/replica/table_test.go
+++ b/internal/replica/table_test.go
@@ -43,13 +43,13 @@
 	table.Want(testModel, 2, start)
 	table.Want(testModel, 3, start.Add(3*time.Second))
 	got := table.Snapshot(testService, testModel, 1000, start.Add(8*time.Second))
-	if got[0].Behind != 8*time.Second {
-		t.Errorf("behind for %v, want 8s", got[0].Behind)
+	if got[0].OutdatedFor != 8*time.Second {
+		t.Errorf("outdated for %v, want 8s", got[0].OutdatedFor)
 	}
 	table.RecordWeights("a", testModel, 2)
 	got = table.Snapshot(testService, testModel, 1000, start.Add(8*time.Second))
-	if got[0].Behind != 5*time.Second {
-		t.Errorf("behind for %v, want 5s", got[0].Behind)
+	if got[0].OutdatedFor != 5*time.Second {
+		t.Errorf("outdated for %v, want 5s", got[0].OutdatedFor)
 	}
 }
 
@@ -109,7 +109,7 @@
 func usable(t *Table, now time.Time) string {
 	out := ""
 	for _, r := range t.Snapshot(testService, testModel, 0, now) {
-		if r.Usable && !r.Doubted {
+		if r.Usable && !r.Suspected {
 			out += r.ID
 		}
 	}
@@ -236,7 +236,7 @@
 	for range 10 {
 		table.Begin("a", Work{Expected: 200 * time.Millisecond}, start.Add(-2*time.Second)).AnswerStarted(start)
 	}
-	slow := func(at time.Time) float64 { return table.Snapshot(testService, testModel, 0, at)[0].Slow }
+	slow := func(at time.Time) float64 { return table.Snapshot(testService, testModel, 0, at)[0].RecentSlowdown }
 	if got := slow(start); got < 4 {
 		t.Errorf("slowness %.1f after answers of ten times the expected time", got)
 	}
@@ -251,7 +251,7 @@
 	table := newTestTable("a")
 	now := time.Now()
 	table.Begin("a", Work{Expected: 10 * time.Millisecond}, now.Add(-140*time.Millisecond)).AnswerStarted(now)
-	if got := table.Snapshot(testService, testModel, 0, now)[0].Slow; got != 1 {
+	if got := table.Snapshot(testService, testModel, 0, now)[0].RecentSlowdown; got != 1 {
 		t.Errorf("slowness %.1f, want 1", got)
 	}
 }
@@ -310,10 +310,10 @@
 	const timeout = 400 * time.Millisecond
 	table := newTestTable("a", "hangs")
 	start := time.Now()
-	state := func(id string, now time.Time) (usable, doubted bool) {
+	state := func(id string, now time.Time) (usable, suspected bool) {
 		for _, r := range table.Snapshot(testService, testModel, 0, now) {
 			if r.ID == id {
-				return r.Usable, r.Doubted
+				return r.Usable, r.Suspected
 			}
 		}
 		t.Fatalf("%s is not in the table", id)
@@ -324,8 +324,8 @@
 	first.End(ConnectTimeout, start.Add(timeout))
 	now := start.Add(timeout + timeout/2)
 	concurrent.End(ConnectTimeout, now)
-	if usable, doubted := state("a", now); !usable || !doubted {
-		t.Errorf("after one timeout: usable %t, doubted %t; want both", usable, doubted)
+	if usable, suspected := state("a", now); !usable || !suspected {
+		t.Errorf("after one timeout: usable %t, suspected %t; want both", usable, suspected)
 	}
 	table.Begin("a", Work{}, now).End(ConnectTimeout, now.Add(timeout))
 	if usable, _ := state("a", now.Add(timeout)); usable {
@@ -333,8 +333,8 @@
 	}
 	table.Begin("a", Work{}, now).End(Answered, now.Add(timeout))
 	table.Begin("a", Work{}, now.Add(timeout)).End(ConnectTimeout, now.Add(2*timeout))
-	if usable, doubted := state("a", now.Add(2*timeout)); !usable || !doubted {
-		t.Errorf("one timeout after an answer: usable %t, doubted %t; want both", usable, doubted)
+	if usable, suspected := state("a", now.Add(2*timeout)); !usable || !suspected {
+		t.Errorf("one timeout after an answer: usable %t, suspected %t; want both", usable, suspected)
 	}
 	table.Begin("hangs", Work{}, start).End(Cancelled, start.Add(2*unresponsiveThreshold))
 	table.Begin("hangs", Work{}, start.Add(2*unresponsiveThreshold)).End(ConnectTimeout, start.Add(2*unresponsiveThreshold+timeout))
@@ -351,8 +351,8 @@
 	table.Begin("hangs", Work{}, now).End(Cancelled, now.Add(2*unresponsiveThreshold))
 	table.Begin("gone", Work{}, now).End(Unreachable, now)
 	for _, r := range table.Snapshot(testService, testModel, 0, now.Add(2*unresponsiveThreshold)) {
-		if r.Usable != (r.ID == "hangs") || !r.Doubted {
-			t.Errorf("%s: usable %t, doubted %t", r.ID, r.Usable, r.Doubted)
+		if r.Usable != (r.ID == "hangs") || !r.Suspected {
+			t.Errorf("%s: usable %t, suspected %t", r.ID, r.Usable, r.Suspected)
 		}
 	}
 	table.Reached("gone", true, now)
--- a/internal/replica/weights_test.go
+++ b/internal/replica/weights_test.go
@@ -78,8 +78,8 @@
 		t.Errorf("version %d is wanted, want 3", got)
 	}
 	for i, want := range []time.Duration{8 * time.Second, 5 * time.Second} {
-		if got := restarted.Snapshot(testService, testModel, 1000, now)[i]; got.Behind != want {
-			t.Errorf("%s is behind for %v, want %v", got.ID, got.Behind, want)
+		if got := restarted.Snapshot(testService, testModel, 1000, now)[i]; got.OutdatedFor != want {
+			t.Errorf("%s is outdated for %v, want %v", got.ID, got.OutdatedFor, want)
 		}
 	}
 	// Any writer may add an entry of another service. It must prove neither that a version
@@ -88,8 +88,8 @@
 	alone.IsKnownService = func(service string) bool { return service == testService }
 	alone.WantFound(testModel, 2, start)
 	alone.Register(platform.Registration{ID: "z", Service: "other", Weights: map[string]int64{testModel: 9}}, 9)
-	if got := alone.Snapshot(testService, testModel, 1000, now)[0].Behind; got != 8*time.Second {
-		t.Errorf("behind for %v beside another service's entry, want 8s", got)
+	if got := alone.Snapshot(testService, testModel, 1000, now)[0].OutdatedFor; got != 8*time.Second {
+		t.Errorf("outdated for %v beside another service's entry, want 8s", got)
 	}
 	observer.IsKnownService = alone.IsKnownService
 	observer.Register(platform.Registration{ID: "z", Service: "other", Weights: map[string]int64{testModel: 0}}, 9)
--- a/internal/rollout/order.go
+++ b/internal/rollout/order.go
@@ -197,7 +197,7 @@
 	if result == platform.OrderAlreadyHeld || result == platform.OrderConflict {
 		return result, nil
 	}
-	return result, errOrderRefused
+	return result, errOrderRejected
 }
 
 // Forget drops the recorded count of a replica's orders, after which the next attempt asks
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -24,19 +24,19 @@
 	Software string
 	// Usable is set if the replica is registered, not leaving and not known to be unreachable.
 	Usable bool
-	// Doubted is set if the replica is suspected to be down: it gives no liveness signal, or
+	// Suspected is set if the replica is suspected to be down: it gives no liveness signal, or
 	// it was marked down, possibly on another host's report.
-	Doubted bool
+	Suspected bool
 	// Trial is set if the replica failed recently and is probed with a single request.
 	Trial bool
 	// Loading is set while the replica loads weights and refuses requests.
 	Loading bool
 	// Backoff is how long the replica still asks this host to send it no requests.
 	Backoff time.Duration
-	// Weights is the version of the weights of the request's model, 0 without one. Behind is
-	// how long ago a newer version was requested, 0 if there is none.
-	Weights int64
-	Behind  time.Duration
+	// Weights is the version of the weights of the request's model, 0 without one. OutdatedFor
+	// is how long ago a newer version was requested, 0 if there is none.
+	Weights     int64
+	OutdatedFor time.Duration
 	// Requests is the number of unfinished requests of all hosts; Slots is how many of them
 	// run concurrently.
 	Requests int
@@ -47,15 +47,16 @@
 	// memory, 0 for plain services.
 	MemoryTokens int
 	CacheTokens  int
-	// Pace is the ratio of the replica's measured to its expected service time. Slow is the
-	// ratio by which its recent answers took longer than that. 1 is normal, 0 is unknown.
-	Pace float64
-	Slow float64
-	// Errors is the recent share of requests, from all hosts, that failed or were lost.
-	Errors float64
-	// Silence is how long the most overdue request has waited since its expected time, or
+	// Slowdown is the ratio of the replica's measured to its expected service time.
+	// RecentSlowdown is the ratio by which its recent answers took longer than that. 1 is
+	// normal, 0 is unknown.
+	Slowdown       float64
+	RecentSlowdown float64
+	// ErrorRate is the recent share of requests, from all hosts, that failed or were lost.
+	ErrorRate float64
+	// UnresponsiveFor is how long the most overdue request has waited since its expected time, or
 	// since the replica's last liveness signal if that was later.
-	Silence time.Duration
+	UnresponsiveFor time.Duration
 }
 
 // Candidate is a replica together with the data that depend on the request.
@@ -137,7 +138,7 @@
 // backing off.
 func allSuspected(candidates []Candidate) bool {
 	for i := range candidates {
-		if candidates[i].Usable && !candidates[i].Doubted && candidates[i].Backoff == 0 {
+		if candidates[i].Usable && !candidates[i].Suspected && candidates[i].Backoff == 0 {
 			return false
 		}
 	}
@@ -151,7 +152,7 @@
 	bestRank := uint64(0)
 	for i := range candidates {
 		c := &candidates[i]
-		if c.Doubted != suspected || p.filterReason(req, c) != "" {
+		if c.Suspected != suspected || p.filterReason(req, c) != "" {
 			continue
 		}
 		best.Considered++
@@ -205,7 +206,7 @@
 		return "tried"
 	case !fits(req, c):
 		return "too small"
-	case c.Behind > 0 && c.Behind+duration(p.expected(req, c)) >= p.WeightsDeadline-deadlineMargin:
+	case c.OutdatedFor > 0 && c.OutdatedFor+duration(p.expected(req, c)) >= p.WeightsDeadline-deadlineMargin:
 		return "on old weights"
 	default:
 		return ""
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -13,7 +13,7 @@
 )
 
 func engine(id string) Candidate {
-	return Candidate{Replica: Replica{ID: id, AvailabilityZone: "z", Usable: true, Weights: 1, Slots: 64, CacheTokens: 165_000, Slow: 1}}
+	return Candidate{Replica: Replica{ID: id, AvailabilityZone: "z", Usable: true, Weights: 1, Slots: 64, CacheTokens: 165_000, RecentSlowdown: 1}}
 }
 
 func longRequest() *Request {
@@ -26,9 +26,9 @@
 	for name, modify := range map[string]func(*Candidate){
 		"not usable":          func(c *Candidate) { c.Usable = false },
 		"loading weights":     func(c *Candidate) { c.Loading = true },
-		"beyond the deadline": func(c *Candidate) { c.Behind = policy.WeightsDeadline },
-		"just before it":      func(c *Candidate) { c.Behind = policy.WeightsDeadline - time.Second },
-		"queue up to it":      func(c *Candidate) { c.Behind, c.PrefillTokens = policy.WeightsDeadline-3*time.Second, 80_000 },
+		"beyond the deadline": func(c *Candidate) { c.OutdatedFor = policy.WeightsDeadline },
+		"just before it":      func(c *Candidate) { c.OutdatedFor = policy.WeightsDeadline - time.Second },
+		"queue up to it":      func(c *Candidate) { c.OutdatedFor, c.PrefillTokens = policy.WeightsDeadline-3*time.Second, 80_000 },
 		"memory too small":    func(c *Candidate) { c.CacheTokens = 10_000 },
 		"asked to back off":   func(c *Candidate) { c.Backoff = time.Millisecond },
 		"tried before":        func(c *Candidate) { c.ID = "tried" },
@@ -50,10 +50,10 @@
 func TestSuspectedReplicasAreTheLastResort(t *testing.T) {
 	policy := DefaultPolicy()
 	healthy, unresponsive, longUnresponsive, unusable := engine("sound"), engine("silent"), engine("long silent"), engine("gone")
-	healthy.PrefillTokens, healthy.Errors = 200_000, 0.9
-	unresponsive.Doubted, unresponsive.Silence = true, time.Second
-	longUnresponsive.Doubted, longUnresponsive.Silence = true, 4*time.Second
-	unusable.Doubted, unusable.Usable = true, false
+	healthy.PrefillTokens, healthy.ErrorRate = 200_000, 0.9
+	unresponsive.Suspected, unresponsive.UnresponsiveFor = true, time.Second
+	longUnresponsive.Suspected, longUnresponsive.UnresponsiveFor = true, 4*time.Second
+	unusable.Suspected, unusable.Usable = true, false
 	loading := engine("loading")
 	loading.Loading = true
 	for want, candidates := range map[string][]Candidate{
@@ -79,11 +79,11 @@
 		"shorter queue":           func(_, w *Candidate) { w.PrefillTokens = 5_000 },
 		"queue against reading":   func(b, w *Candidate) { b.Cached, b.PrefillTokens = 13_300, 10_000; w.PrefillTokens = 0 },
 		"idle over a long queue":  func(_, w *Candidate) { w.Cached, w.PrefillTokens = 13_300, 90_000 },
-		"new weights":             func(_, w *Candidate) { w.Behind = 3 * time.Second },
+		"new weights":             func(_, w *Candidate) { w.OutdatedFor = 3 * time.Second },
 		"free memory":             func(_, w *Candidate) { w.MemoryTokens = 160_000 },
-		"normal speed":            func(_, w *Candidate) { w.Slow = 7 },
-		"no failures":             func(_, w *Candidate) { w.Errors = 0.1 },
-		"signs of life":           func(_, w *Candidate) { w.Silence = 500 * time.Millisecond },
+		"normal speed":            func(_, w *Candidate) { w.RecentSlowdown = 7 },
+		"no failures":             func(_, w *Candidate) { w.ErrorRate = 0.1 },
+		"signs of life":           func(_, w *Candidate) { w.UnresponsiveFor = 500 * time.Millisecond },
 		"no trial":                func(_, w *Candidate) { w.Trial = true },
 		"same zone, all the same": func(_, w *Candidate) { w.AvailabilityZone = "y"; w.PrefillTokens = 2_000 },
 	} {
@@ -107,7 +107,7 @@
 	for queue, want := range map[int]string{0: "new", 10_000: "new", 14_000: "new", 22_000: "old"} {
 		fresh, old := engine("new"), engine("old")
 		fresh.PrefillTokens = queue
-		old.Behind = 2 * time.Second
+		old.OutdatedFor = 2 * time.Second
 		if d, err := policy.Decide(longRequest(), []Candidate{old, fresh}); err != nil || d.ID != want {
 			t.Errorf("%d tokens of queue on the new weights: chose %q, %v, want %q", queue, d.ID, err, want)
 		}
@@ -207,7 +207,7 @@
 func TestLongPromptsGoToFastEngines(t *testing.T) {
 	policy := DefaultPolicy()
 	slow, fast := engine("slow"), engine("fast")
-	slow.Pace, fast.Pace = 1.59, 1.22
+	slow.Slowdown, fast.Slowdown = 1.59, 1.22
 	req := &Request{AvailabilityZone: "z", PromptTokens: 25_000, OutputTokens: 120, LatencyTarget: 800 * time.Millisecond}
 	for prefill, want := range map[int]string{0: "fast", 6_000: "fast", 15_000: "slow"} {
 		fast.PrefillTokens = prefill
@@ -233,7 +233,7 @@
 		return c
 	}
 	loading, unusable, suspected := engine("loading"), engine("gone"), engine("doubted")
-	loading.Loading, unusable.Usable, suspected.Doubted = true, false, true
+	loading.Loading, unusable.Usable, suspected.Suspected = true, false, true
 	for want, candidates := range map[time.Duration][]Candidate{
 		2 * time.Second: {at(4 * time.Second), at(2 * time.Second), unusable},
 		retryAfter:      {at(4 * time.Second), loading},
--- a/internal/route/score.go
+++ b/internal/route/score.go
@@ -18,7 +18,7 @@
 	memoryWaitThreshold = 0.95
 	// plainServiceMs is the assumed service time of a request to a plain service.
 	plainServiceMs = 30.0
-	// silenceThreshold is the Silence above which a replica may be hanging.
+	// silenceThreshold is the UnresponsiveFor above which a replica may be hanging.
 	silenceThreshold = 300 * time.Millisecond
 	// trialPriceMs is the price of probing a replica that failed recently.
 	trialPriceMs = 250.0
@@ -55,13 +55,13 @@
 }
 
 // slowdown returns the ratio of the replica's actual to its expected service time.
-func (r *Replica) slowdown() float64 { return r.baseSlowdown() * max(1, r.Slow) }
+func (r *Replica) slowdown() float64 { return r.baseSlowdown() * max(1, r.RecentSlowdown) }
 
 func (r *Replica) baseSlowdown() float64 {
-	if r.Pace <= 0 {
+	if r.Slowdown <= 0 {
 		return 1
 	}
-	return r.Pace
+	return r.Slowdown
 }
 
 // waiting returns the time, in milliseconds, that the request is expected to be queued behind
@@ -80,15 +80,15 @@
 	score += float64(max(0, c.Requests-c.Slots)) * queuedPriceMs
 	recomputed := float64(max(0, req.SharedTokens-c.Cached-c.Fetched)) / float64(max(1, req.PromptTokens))
 	score += p.RecomputePrice * recomputed * millis(req.LatencyTarget)
-	score += p.failurePrice(req) * c.Errors
+	score += p.failurePrice(req) * c.ErrorRate
 	if c.AvailabilityZone != req.AvailabilityZone {
 		score += p.CrossZonePrice
 	}
-	if c.Behind > p.OutdatedWeightsGrace {
+	if c.OutdatedFor > p.OutdatedWeightsGrace {
 		score += p.OutdatedWeightsPrice * millis(req.LatencyTarget)
 	}
-	if c.Silence > silenceThreshold {
-		score += millis(c.Silence)
+	if c.UnresponsiveFor > silenceThreshold {
+		score += millis(c.UnresponsiveFor)
 	}
 	if c.Trial {
 		score += trialPriceMs
--- a/internal/schedule/schedule.go
+++ b/internal/schedule/schedule.go
@@ -271,8 +271,8 @@
 	}
 	work := replica.Work{
 		Prefill: prefill, Memory: req.PromptTokens + req.OutputTokens,
-		Expected: d.Expected, PrefillTime: time.Duration(d.Pace * float64(s.policy.PrefillTime(prefill))),
-		ServiceTime: d.ServiceTime, Slowdown: d.Pace, Engine: capacity > 0, Digest: req.Digest,
+		Expected: d.Expected, PrefillTime: time.Duration(d.Slowdown * float64(s.policy.PrefillTime(prefill))),
+		ServiceTime: d.ServiceTime, Slowdown: d.Slowdown, Engine: capacity > 0, Digest: req.Digest,
 	}
 	c.Flight = s.replicas.Begin(d.ID, work, now)
 	if c.Flight == nil {
