--- a/internal/route/score.go
+++ b/internal/route/score.go
@@ -18,8 +18,9 @@
 	memoryWaitThreshold = 0.95
 	// plainServiceMs is the assumed service time of a request to a plain service.
 	plainServiceMs = 30.0
-	// silenceThreshold is the UnresponsiveFor above which a replica may be hanging.
-	silenceThreshold = 300 * time.Millisecond
+	// unresponsivePriceThreshold is the UnresponsiveFor above which a replica may be hanging, and
+	// above which it is added to the score.
+	unresponsivePriceThreshold = 300 * time.Millisecond
 	// trialPriceMs is the price of probing a replica that failed recently.
 	trialPriceMs = 250.0
 	// deadlineMargin is kept before Policy.WeightsDeadline in addition to the expected time,
@@ -87,7 +88,7 @@
 	if c.OutdatedFor > p.OutdatedWeightsGrace {
 		score += p.OutdatedWeightsPrice * millis(req.LatencyTarget)
 	}
-	if c.UnresponsiveFor > silenceThreshold {
+	if c.UnresponsiveFor > unresponsivePriceThreshold {
 		score += millis(c.UnresponsiveFor)
 	}
 	if c.Trial {
