--- a/internal/canary/table.go
+++ b/internal/canary/table.go
@@ -121,9 +121,9 @@
 type ServerFilter struct {
 	// Allows reports whether servers with a version may get the request; nil allows all.
 	Allows func(version string) bool
-	// Target is set if the request goes to the new version. Part, if not 0, is the part of
-	// that version's servers that get its share of the requests: they are to be as busy as
-	// all of them will be after the release.
+	// Target is set if the request goes to the new version. Part, if not 0, is the fraction of
+	// that version's servers that may get it, so that each of these is roughly as busy during
+	// the release as all of them will be after it.
 	Target bool
 	Part   float64
 }
--- a/internal/dispatch/silence.go
+++ b/internal/dispatch/silence.go
@@ -18,8 +18,8 @@
 	// longer of the two applies.
 	hangTimeoutTargets = 1.0
 	// stallPauseTargets is the pause between two events, in multiples of the route's pause
-	// target, after which a stream is resumed at another replica. Callers give up after a
-	// pause of eight targets.
+	// target, after which a stream is resumed at another replica. watchStall applies a
+	// minimum of 2*minHangTimeout. Callers give up after a pause of eight targets.
 	stallPauseTargets = 4
 )
 
--- a/internal/netdial/netdial.go
+++ b/internal/netdial/netdial.go
@@ -10,8 +10,8 @@
 
 const (
 	// probeIdle is how long a connection is idle before the kernel probes it.
-	// probeInterval and probeCount determine when it gives up: some 3 s after the last byte,
-	// which is as long as hosts may take to notice any other reset. A probe is a packet
+	// probeInterval and probeCount determine when it gives up: about 3 s after the last byte,
+	// the time within which hosts must notice a failed connection. A probe is a packet
 	// without data.
 	probeIdle     = time.Second
 	probeInterval = time.Second
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -275,9 +275,10 @@
 	}
 }
 
-// evictIfFull drops the request with the fewest crashes if the table is full, and among
-// several the one with the oldest crash: a request that a hundred thousand others followed
-// matters less than one that crashes servers.
+// evictIfFull drops the record with the fewest crashes if the table is full, and among several
+// the one with the oldest crash. Such a record matters least: a hundred thousand other
+// requests may have followed the crash, while a request with more or recent crashes is likely to
+// crash further servers.
 func (t *Table) evictIfFull(now time.Time) {
 	if len(t.records) < maxRecords {
 		return
--- a/internal/quarantine/tell.go
+++ b/internal/quarantine/tell.go
@@ -38,9 +38,10 @@
 	return false
 }
 
-// Changes returns the updates for routing hosts: what this host has observed and not
-// reported yet. A round also repeats the updates of the last second, and some refused
-// requests.
+// Changes returns the updates for a heartbeat to routing hosts: what this host has observed and
+// not reported yet. round is set for the regular heartbeat of each interval, and not for one
+// that is sent between intervals. The regular one also repeats the updates of the last second and
+// some refused requests, as heartbeats may be lost.
 func (t *Table) Changes(now time.Time, round bool) []*pb.RequestCrashes {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/quota/exchange.go
+++ b/internal/quota/exchange.go
@@ -170,7 +170,8 @@
 // report on an organisation obtains that usage from one of the next.
 const recentSpan = 500 * time.Millisecond
 
-// recent keeps earlier values of the usage of an account.
+// recent keeps two earlier values of the usage of an account: newer, recorded at the time at, and
+// older, recorded at least recentSpan before that. Values that are not recorded yet are 0.
 type recent struct {
 	older, newer int64
 	at           time.Time
--- a/internal/replica/health.go
+++ b/internal/replica/health.go
@@ -50,8 +50,9 @@
 	// the maximum lets a restarted server be found again.
 	minDownTime = 300 * time.Millisecond
 	maxDownTime = 3 * time.Second
-	// unresponsiveThreshold is the result of unresponsiveFor above which a server counts as
-	// unresponsive and gets no more requests.
+	// unresponsiveThreshold is the result of unresponsiveFor from which a server is suspected,
+	// so that routing decisions avoid it. Above the threshold it counts as unresponsive, and
+	// other hosts are notified that it is down.
 	unresponsiveThreshold = 600 * time.Millisecond
 	// suspicionTimeout is how long another host's report that a server is down counts; it is
 	// renewed with each heartbeat of that host.
@@ -148,7 +149,8 @@
 // a last resort, since otherwise all requests to a service with a single server would be
 // refused. Timeouts of attempts that were already running at that time are ignored. A timeout
 // of a later attempt, or one to a server that is already marked down, makes the server
-// unreachable, so that a server that never answers costs its callers at most two timeouts.
+// unreachable, so that a server that never answers costs its callers at most two timeouts, one
+// after the other, in each outage.
 func (h *health) connectTimeout(began, now time.Time) {
 	if began.Before(h.connectTimeoutAt) {
 		return
--- a/internal/replica/services.go
+++ b/internal/replica/services.go
@@ -4,8 +4,8 @@
 
 const (
 	// maxCandidates is the number of servers of one service above which a routing decision
-	// considers only some of them. With 3,000 servers, considering all takes 3.3 ms of CPU
-	// time, and considering this many 0.23 ms (BenchmarkPickAmongMany on a busy machine).
+	// considers only this many of them. With 3,000 servers, a decision that considers all
+	// takes 3.3 ms of CPU time, and one that considers 160 takes 0.23 ms.
 	maxCandidates = 160
 )
 
--- a/internal/schedule/schedule.go
+++ b/internal/schedule/schedule.go
@@ -172,8 +172,9 @@
 	return canary.Servers(filter, replicas, func(r route.Replica) (id, version string) { return r.ID, r.Software })
 }
 
-// busyTargets is the wait behind other requests, in units of the latency target, above which
-// a decision made among some of many replicas also considers as many others.
+// busyTargets is the expected queue time, in multiples of the latency target, above which the
+// replicas of a first selection count as busy. Another decision is then made among a random selection
+// of the same size, and the better of the two is used.
 const busyTargets = 0.25
 
 // decideFromCandidates picks among the replicas to which requests with the same prefix
