--- a/internal/schedule/schedule.go
+++ b/internal/schedule/schedule.go
@@ -173,8 +173,8 @@
 }
 
 // busyTargets is the expected queue time, in multiples of the latency target, above which the
-// replicas of a first selection count as busy. Another decision is then made among a random selection
-// of the same size, and the better of the two is used.
+// replicas of a first selection count as busy. Another decision is then made among a random
+// selection of the same size, and the better of the two is used.
 const busyTargets = 0.25
 
 // decideFromCandidates picks among the replicas to which requests with the same prefix
