--- a/internal/node/beliefs.go
+++ b/internal/node/beliefs.go
@@ -71,8 +71,8 @@
 	}
 }
 
-// logMalformedEntry counts an entry that describes no server, and logs it at most once a second,
-// as another writer may produce many.
+// logMalformedEntry counts an entry that is not a valid registration, and logs it at most once a
+// second, as another writer may produce many.
 func (n *Node) logMalformedEntry(rec platform.Record, err error) {
 	n.metrics.Malformed.Inc(1)
 	if others, ok := n.malformedLogLimiter.Allow(clock.Now()); ok {
--- a/internal/node/beliefs_test.go
+++ b/internal/node/beliefs_test.go
@@ -189,9 +189,10 @@
 
 // TestWeightsOfUnknownAge guards against hosts that, after a whole fleet lost power, use
 // replicas that missed a rollout for the whole weights deadline after their start: none knew
-// when the version had been named, and all took it for new. A version that some replica has must
-// have been named a while ago, so older ones are not used. A version that no replica has was
-// probably just named, and must not stop all service until the first replica has loaded it.
+// when the version had been named, and all assumed that it was new. A version that some
+// replica has must have been named a while ago, so older ones are not used. A version that no
+// replica has was probably just named, and must not stop all service until the first replica has
+// loaded it.
 func TestWeightsOfUnknownAge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		deadline := route.DefaultPolicy().WeightsDeadline
--- a/internal/node/cache.go
+++ b/internal/node/cache.go
@@ -19,21 +19,21 @@
 const (
 	// minCacheReadGap is the minimum pause between two reads of a holder's cache events. Events
 	// are some 80 ms old when read, so more frequent reads gain little, and each read costs
-	// processor time on both ends.
+	// CPU time on both ends.
 	minCacheReadGap = 100 * time.Millisecond
 	// maxCacheReadsPerSecond is the maximum rate of event reads of one host. Each takes about
-	// 0.15 ms of its processor time.
+	// 0.15 ms of its CPU time.
 	maxCacheReadsPerSecond = 240
 	// maxFollowed is the maximum number of replicas that a host follows, as each takes a
 	// connection and continuous reads. If there are more, it follows those that hold most
 	// tokens.
 	maxFollowed = 64
-	// minFollowedTokens is the minimum number of cached tokens of a replica in that case.
-	// Recomputing fewer costs less than following the replica.
+	// minFollowedTokens is the minimum number of cached tokens of a followed replica if there
+	// are more than maxFollowed. Recomputing fewer costs less than following the replica.
 	minFollowedTokens = 2048
 	// scanInterval is how often the set of replicas to follow is updated.
 	scanInterval = 200 * time.Millisecond
-	// initialScanInterval is the same until the first replica is followed. Requests that a
+	// initialScanInterval replaces scanInterval until the first holder is followed. Requests that a
 	// starting host sends before then may be recomputed although some replica caches their
 	// prefix.
 	initialScanInterval = 20 * time.Millisecond
@@ -167,9 +167,9 @@
 	return selected[:min(len(selected), maxFollowed)]
 }
 
-// shouldFollow reports whether the host of a rank, out of so many hosts, follows a holder that
-// serves a limited number of readers. If there are more hosts than readers, each skips some
-// holders, such that every holder is followed.
+// shouldFollow reports whether the host with the given rank follows a holder that serves at most
+// the given number of readers. If there are more hosts than readers, each host skips some
+// holders, but every holder is followed.
 func shouldFollow(rank, hosts int, holder string, readers int) bool {
 	if hosts <= readers {
 		return true
--- a/internal/node/cache_test.go
+++ b/internal/node/cache_test.go
@@ -35,9 +35,9 @@
 }
 
 // TestFollowedHoldersAreBounded guards against the number of followed replicas growing with the
-// fleet. With 9,560 replicas each of 60 hosts followed 1,275 of them, 42 s apart, each time over
-// a new connection: nearly ten connections per request. A host now follows a limited number,
-// those that hold most tokens.
+// fleet. With 9,560 replicas each of 60 hosts followed 1,275 of them and read each every 42 s, each
+// time over a new connection: nearly ten connections per request. A host now follows a limited
+// number, those that hold most tokens.
 func TestFollowedHoldersAreBounded(t *testing.T) {
 	for _, n := range []int{400, 1600} {
 		var holders []cachesync.Holder
--- a/internal/node/crash_test.go
+++ b/internal/node/crash_test.go
@@ -100,7 +100,7 @@
 	return s, servers
 }
 
-// sendPoison sends an attempt of a poison request. Its outcome, a cut connection or an error,
+// sendPoison sends an attempt of a poison request. Its outcome, a broken connection or an error,
 // does not matter.
 func sendPoison(t *testing.T, h *host, id string) {
 	t.Helper()
@@ -140,11 +140,11 @@
 
 // TestCrashingRequestIsQuarantined guards against a request that crashes every server that runs
 // it: some twenty in half a minute, with all streams on them. Its caller retried at any host
-// under a new ID, and hosts remembered nothing but attempt IDs, so each took it for a new
-// request. A digest of the parts common to all attempts identifies such a request: in the log
-// most digests had lost one or two attempts, this one 44, on each host. After three crashes, and
-// time for every host to receive reports of them, at most three more servers may crash. Both
-// hosts serve other requests meanwhile.
+// under a new ID, and hosts kept only attempt IDs, so each treated it as a new request. A
+// digest of the parts common to all attempts identifies such a request: in the log most digests
+// had lost one or two attempts, this one 44, on each host. After three crashes, and time for
+// every host to receive reports of them, at most three more servers may crash. Both hosts serve
+// other requests meanwhile.
 func TestCrashingRequestIsQuarantined(t *testing.T) {
 	s, servers := newCrashSite(t)
 	a := s.host("a", s.address)
--- a/internal/node/gossip.go
+++ b/internal/node/gossip.go
@@ -116,9 +116,9 @@
 func (n *Node) nextSequence() uint64 { return n.sequence.Add(1) }
 
 // standbyHeartbeat returns the heartbeat for standby hosts. They do not receive heartbeats from
-// all routing hosts, so a routing host forwards how long ago any host read the topics. Between
-// routing hosts such ages are not forwarded: an age returns to its origin without its time in
-// transit, and so would hardly grow even if no host read the topic any more.
+// all routing hosts, so a routing host forwards how long ago any host read the topics. Routing
+// hosts do not forward such ages to each other: a received age lacks its time in transit, so ages
+// passed back and forth would hardly grow even if no host read the topic any more.
 func (n *Node) standbyHeartbeat(state *pb.Heartbeat, now time.Time) *pb.Heartbeat {
 	out := proto.CloneOf(state)
 	out.Members = n.members.MemberStates(true, now)
--- a/internal/node/heard.go
+++ b/internal/node/heard.go
@@ -12,8 +12,8 @@
 	"github.com/briarlink/briarlink/platform"
 )
 
-// loadingTimeout is how long a replica that another host commands to load weights gets no
-// requests. Each heartbeat that lists the replica renews it.
+// loadingTimeout is how long a replica gets no requests after another host's heartbeat listed it
+// as loading weights. Each further such heartbeat restarts the timeout.
 const loadingTimeout = 600 * time.Millisecond
 
 // receiveHeartbeat applies another host's heartbeat.
@@ -111,8 +111,8 @@
 	return min(n.operatorsReadAge(now), n.operatorsFreshness.Age(now))
 }
 
-// operatorsReadAge is operatorsAge by this host's own reads only. A host that waits at the store
-// for records misses none while the store answers its other calls.
+// operatorsReadAge is operatorsAge as known from this host's own reads only. A host that
+// waits at the store for records misses none while the store answers its other calls.
 func (n *Node) operatorsReadAge(now time.Time) time.Duration {
 	age := n.operators.Age(now)
 	if n.longPollsOperators.Load() {
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -49,10 +49,10 @@
 	return l.String()
 }
 
-// isolatedDivisor divides the equal share, over all hosts, of a host in a large fleet that
-// receives nothing from other hosts. The other hosts cannot know how many such hosts there are,
-// and reserve nothing for them. If a third of all hosts are isolated, they admit a ninth of a
-// limit, which the tolerance covers.
+// isolatedDivisor reduces the share of a limit that an isolated host in a large fleet admits: a
+// host that receives no usage reports divides its equal share, over all hosts, by this number.
+// The other hosts cannot know how many hosts are isolated, and reserve nothing for them. If a
+// third of all hosts are isolated, they admit a ninth of a limit, which the tolerance covers.
 const isolatedDivisor = 3
 
 // updateLimitShares updates the limiter with the number of hosts that share limits, and of those
@@ -62,8 +62,8 @@
 	v := n.members.View(now)
 	hosts, live := len(v.Routing), n.limitLiveHosts.observe(v.Live, now)
 	if now.Sub(n.started) >= discoveryTime {
-		// Right after its start, a host that knew few large hosts may have counted small ones
-		// among the routing hosts.
+		// Before discoveryTime has passed, this host may know only a few large hosts, and so
+		// count small ones among the routing hosts.
 		hosts = n.limitHosts.observe(hosts, now)
 	}
 	hosts = max(1, hosts)
--- a/internal/node/limits_test.go
+++ b/internal/node/limits_test.go
@@ -13,8 +13,8 @@
 	"github.com/briarlink/briarlink/test/standin/caller"
 )
 
-// An organisation without and with a limit. A test has time to use up the burst, but not to get
-// it back.
+// An organisation without a limit and one with a limit. A test has time to use up the burst, but
+// not for the bucket to drain.
 const (
 	unlimited = `{"Name": "museum-a", "ApiKeys": ["key-of-museum-a"], "Priority": 1}`
 	limited   = `{"Name": "museum-a", "ApiKeys": ["key-of-museum-a"], "Priority": 1, "RatePerS": 0.01, "Burst": 40}`
@@ -49,7 +49,7 @@
 		}
 		return refusals == len(hosts) && served > 0
 	})
-	// Each host lacks what the other admitted since its last heartbeat.
+	// Neither host knows yet what the other has admitted since its last heartbeat.
 	if served > 60 {
 		t.Errorf("%d requests served of a burst of 40, %d refused", served, refused)
 	}
--- a/internal/node/listen.go
+++ b/internal/node/listen.go
@@ -62,8 +62,8 @@
 	return errors.Wrap(err, "listen for heartbeats")
 }
 
-// close closes sockets that were opened but are not served. Errors are ignored, as they would
-// change nothing.
+// close closes sockets that were opened but are not served. Errors are ignored, as nothing can
+// be done about them.
 func (l *Listeners) close() {
 	for _, listener := range []net.Listener{l.callers, l.ready, l.directory, l.operators, l.metrics, l.peers} {
 		if listener != nil {
@@ -81,7 +81,7 @@
 	log  *logrus.Logger
 }
 
-// close waits for connections to become idle, and cuts those that are still open after wait.
+// close waits for connections to become idle, and closes those that are still open after wait.
 func (s *server) close(wait time.Duration) {
 	ctx, cancel := context.WithTimeout(context.Background(), wait)
 	defer cancel()
--- a/internal/node/loops.go
+++ b/internal/node/loops.go
@@ -17,8 +17,8 @@
 	// wait costs fewer calls, but an unresponsive store is detected later.
 	operatorReadWait = 20 * time.Second
 	// frontReadWait is the same for the frontReaders hosts that come first by rank. If the store
-	// loses a read while it is briefly unresponsive, this shows only when the wait ends, because
-	// no other call need fail meanwhile. The other hosts then get the records from these.
+	// loses a read while it is briefly unresponsive, the loss shows only when the wait ends, as
+	// all other calls may succeed. The other hosts then get the records from these.
 	frontReadWait = 1500 * time.Millisecond
 	frontReaders  = 3
 	// operatorReaders is the number of hosts that wait at the store for operators' records. The
@@ -37,12 +37,13 @@
 	operatorsStagger = 50 * time.Millisecond
 	operatorsSpread  = 700 * time.Millisecond
 	// hostReadInterval is how often hosts' addresses are read. Heartbeats carry them as well,
-	// and a read that waited at the store would return for each host that starts.
+	// and a read that waited at the store would return whenever a host starts.
 	hostReadInterval = 25 * time.Second
 	// operatorReadGap is the pause between reads, which limits their rate when many
 	// configurations are written at once.
 	operatorReadGap = 30 * time.Millisecond
-	// sweepInterval is how often idle connections, dead hosts and the like are looked for.
+	// sweepInterval is the interval of periodic maintenance, such as the removal of idle
+	// connections and dead hosts.
 	sweepInterval = 250 * time.Millisecond
 	// reconnectInterval is how often servers that are marked down are probed.
 	reconnectInterval = 100 * time.Millisecond
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -111,9 +111,9 @@
 	limiter   *quota.Limiter
 	crashes   *quarantine.Table
 	lease     *rollout.Lease
-	// canaries are the canary releases of services, canaryLease is the right to decide about
-	// them, and releaseStatuses are their statuses as stored. releaseOrdered is closed by the
-	// first order.
+	// canaries are the canary releases of services, canaryLease is the lease for decisions about
+	// them, and releaseStatuses are their stored statuses. releaseOrdered is closed by the first
+	// order.
 	canaries        *canary.Table
 	canaryLease     *rollout.Lease
 	releaseStatuses *topic.Table
@@ -172,8 +172,8 @@
 	longPollsOperators atomic.Bool
 	// followedHolders is the number of holders of KV cache whose events this host follows.
 	followedHolders atomic.Int64
-	// operatorsFreshness and entriesFreshness are the times up to which other hosts' reports
-	// show the operators' records and the backend servers' entries to be complete.
+	// operatorsFreshness and entriesFreshness hold the times up to which this host's operators'
+	// records and backend servers' entries are complete according to other hosts' reports.
 	operatorsFreshness, entriesFreshness topic.Freshness
 }
 
@@ -383,9 +383,9 @@
 // maxDirectory is the maximum number of addresses that callers accept.
 const maxDirectory = 64
 
-// stop shuts down without cutting requests. Directories of other hosts drop this host at once.
-// Callers with an older answer are served until closeShare of the grace time has passed; then
-// open requests finish.
+// stop shuts down without aborting requests that end before drainShare of the grace time has
+// passed. Directories of other hosts drop this host at once. Callers with an older directory
+// answer are served until closeShare of the grace time has passed; then open requests finish.
 func (n *Node) stop(servers []*server) {
 	began := clock.Now()
 	grace := n.settings.Stop.Grace.AsDuration()
--- a/internal/node/records.go
+++ b/internal/node/records.go
@@ -138,8 +138,8 @@
 	return nil
 }
 
-// fetchLogLimiters rate-limit the log lines about fetches of a topic. While the store is lost,
-// every heartbeat of a host with more records leads to a fetch.
+// fetchLogLimiters rate-limit the log lines about fetches of a topic. While the store is
+// unreachable, every heartbeat of a host with more records leads to a fetch.
 type fetchLogLimiters struct{ applied, failed obs.Limiter }
 
 // logFetched logs that records of another host were applied.
--- a/internal/node/records_test.go
+++ b/internal/node/records_test.go
@@ -19,10 +19,10 @@
 )
 
 // TestFetchesAreRateLimitedInTheLog guards against a log filled by fetches. While the store is
-// lost, an outdated host fetches at each heartbeat of a host with more records, 174 times a
-// second with 300 hosts. If these hosts are unreachable too, each fetch logged a failure: half
-// of the log's capacity, when it is needed most. Each topic has its own limit, as entries change
-// more often than the configuration.
+// unreachable, a host without the latest records fetches at each heartbeat of a host with more
+// records, 174 times a second with 300 hosts. If these hosts were unreachable too, each fetch
+// logged a failure: half of the log's capacity, when it is needed most. Each topic has its own
+// limit, as entries change more often than the configuration.
 func TestFetchesAreRateLimitedInTheLog(t *testing.T) {
 	const (
 		heartbeatRate = 174
--- a/internal/node/stop_test.go
+++ b/internal/node/stop_test.go
@@ -46,9 +46,9 @@
 	return string(body), err
 }
 
-// TestStopFinishesAnswersInTransit guards against a stop cutting the end of an answer. A request
+// TestStopFinishesAnswersInTransit guards against a stop that truncates an answer. A request
 // no longer counts as open once its handler has returned, but the end of its answer may not be
-// written yet. It has the rest of the grace time.
+// written yet. It may use the rest of the grace time.
 func TestStopFinishesAnswersInTransit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const grace = 8 * time.Second
@@ -88,7 +88,7 @@
 		if took := time.Since(began); took > grace {
 			t.Errorf("the stop took %v of a grace time of %v", took, grace)
 		}
-		// Let the handler end also if its connection was cut.
+		// Let the handler end also if its connection was closed.
 		time.Sleep(grace)
 	})
 }
--- a/internal/node/store.go
+++ b/internal/node/store.go
@@ -13,8 +13,8 @@
 	// from which this host reads them itself. Together with a heartbeat interval, the read and
 	// the transfer, entries stay well under a second old.
 	maxEntriesAge = 400 * time.Millisecond
-	// entriesStagger is added for each host of lower rank, so that hosts do not all read at
-	// once.
+	// entriesStagger is added for each host that precedes this one by rank, so that hosts do not
+	// all read at once.
 	entriesStagger = 60 * time.Millisecond
 	// maxStaggeredHosts limits the number of hosts that are waited for.
 	maxStaggeredHosts = 6
@@ -42,7 +42,7 @@
 	return minFirstReadDelay + rand.N(firstReadJitter)
 }
 
-// delaysFirstRead reports whether this host has just started and may yet get the store's records
+// delaysFirstRead reports whether this host has just started and may still get the store's records
 // from other hosts.
 func (n *Node) delaysFirstRead() bool {
 	now := clock.Now()
