--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -13,7 +13,7 @@
 const (
 	// windowBefore and windowAfter limit the time around a request in which lines on its
 	// replicas are relevant: the effects of a fault show within seconds, and hosts log a
-	// lost replica a little after the streams that its loss cut.
+	// lost replica a little after the streams that its loss interrupted.
 	windowBefore = 5 * time.Second
 	windowAfter  = 1500 * time.Millisecond
 	// repeatWindow is the time within which several hosts log the same event.
@@ -143,7 +143,7 @@
 }
 
 // onContext reports whether a line without the request's ID is relevant to the request: it
-// is on the request's digest, on its replicas, or on the host that served it.
+// concerns the request's digest, its replicas, or the host that served it.
 func (f *filter) onContext(h *logline.Head) bool {
 	near := !h.At.Before(f.from)
 	if h.Message == obs.RequestMessage {
--- a/internal/explain/verdict.go
+++ b/internal/explain/verdict.go
@@ -62,8 +62,8 @@
 	}
 }
 
-// describeOverLimit describes a rejection by a rate limit. Its text says that load of others
-// played no part, unlike for a rejection that more replicas would have avoided.
+// describeOverLimit describes a rejection by a rate limit. Its text says that other
+// organisations' load played no part, to distinguish it from a rejection for lack of capacity.
 func describeOverLimit(r *logline.Request) string {
 	return fmt.Sprintf("the caller was refused for its organisation's rate limit, by configuration %d, and asked back after %.0f ms; it has not run, and no load of other organisations played a part (%s)",
 		r.Config, r.RetryAfterMs, r.Error)
@@ -87,7 +87,7 @@
 	return status
 }
 
-// describeUnanswered describes a request whose caller left or whose deadline passed before
+// describeUnanswered describes a request whose caller disconnected or whose deadline passed before
 // its answer was complete, and whether a replica failed to answer it.
 func describeUnanswered(r *logline.Request, end time.Time, lines []logline.Line) string {
 	who := "the caller left"
