--- a/internal/logline/logline.go
+++ b/internal/logline/logline.go
@@ -1,5 +1,5 @@
-// Package logline parses the structured logs of hosts, either as they were written or
-// with the prefix that a log collector put before each line.
+// Package logline parses the structured logs of hosts, with or without the prefix that a
+// log collector puts before each line.
 package logline
 
 import (
@@ -75,7 +75,7 @@
 func (r *Request) Late() bool { return r.TargetMs > 0 && r.FirstMs > r.TargetMs }
 
 // AnswerStarted reports whether the caller received the beginning of an answer. The time to
-// the first event alone does not tell: below one millisecond it is logged as 0.
+// the first event alone does not show this: below one millisecond it is logged as 0.
 func (r *Request) AnswerStarted() bool { return r.FirstMs > 0 || r.Status > 0 }
 
 // resultLost is the result of an attempt whose replica, or the connection to it, was lost
