--- a/cmd/briarlink/progress.go
+++ b/cmd/briarlink/progress.go
@@ -12,7 +12,7 @@
 
 const bytesInMB = 1e6
 
-// progress prints how far a long read has got. A read that ends within progressInterval
+// progress prints the progress of a long read. A read that ends within progressInterval
 // prints nothing.
 type progress struct {
 	w    io.Writer
--- a/cmd/briarlink/watch.go
+++ b/cmd/briarlink/watch.go
@@ -87,7 +87,7 @@
 		return errors.Wrap(err, "print")
 	}
 	table.WriteString("\n")
-	// A single write, so that a terminal never shows half a table.
+	// A single write, so that a terminal never shows a partial table.
 	_, err = w.out.Write(table.Bytes())
 	return errors.Wrap(err, "print")
 }
--- a/cmd/briarlink/watch_test.go
+++ b/cmd/briarlink/watch_test.go
@@ -81,7 +81,7 @@
 	})
 }
 
-// brokenPipe is an output whose reader has gone.
+// brokenPipe is an output whose reader has closed it.
 type brokenPipe struct{}
 
 func (brokenPipe) Write([]byte) (int, error) { return 0, syscall.EPIPE }
