--- a/test/days/play.sh
+++ b/test/days/play.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Plays the days of deploy/days on sites of the users' bench and prints what
-# broke. Usage: FLEETBENCH=PROGRAM test/days/play.sh SITE.toml...
+# Runs the days of deploy/days on sites of the users' bench and prints the rules that were
+# violated. Usage: FLEETBENCH=PROGRAM test/days/play.sh SITE.toml...
 set -euo pipefail
 cd "$(dirname "$0")/../.."
 bench=${FLEETBENCH:?names the program of the bench}
